--- a/crates/operation/src/figures.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The figures that `METRICS` shows: counted where each event happens, with atomics that nobody locks.
 
-use roselock_startup::stage::{Stage, Start};
+use roselock_discovery_client::startup_stage::{Stage, Start};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, AtomicU8, AtomicU64, Ordering};
--- a/crates/operation/tests/figures.rs
+++ b/crates/admin/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! The figures of `METRICS`.
 
-use roselock_operation::figures::{End, Figures};
-use roselock_startup::stage::Start;
+use roselock_admin::metrics::{End, Figures};
+use roselock_discovery_client::startup_stage::Start;
 
 #[test]
 fn what_is_counted_is_shown_by_class() {
--- a/crates/capacity/src/service.rs
+++ b/crates/capacity/src/service.rs
@@ -1,9 +1,9 @@
 //! The list service as its stand-in shows it: one call after another, each for its own time and that of its bytes; a call
-//! that has waited too long is turned away. Around it dispatchers that call at the pace of `crates/startup`.
+//! that has waited too long is turned away. Around it dispatchers that call at the pace of `crates/discovery-client`.
 
 use crate::{Micros, SECOND};
 use oorandom::Rand64;
-use roselock_startup::pace::{EndReason, Pace, Round, WatchEnd};
+use roselock_discovery_client::poll_schedule::{EndReason, Pace, Round, WatchEnd};
 use std::collections::BTreeSet;
 
 /// A call that has not begun to be served after so long is turned away.
--- a/crates/startup/src/dial_limiter.rs
+++ b/crates/dial-limiter/src/lib.rs
@@ -7,7 +7,8 @@
 //! over its upper half, as in the binary exponential backoff of Ethernet (R. Metcalfe, D. Boggs, 1976); an accepted
 //! connection halves it.
 
-use crate::pace::Micros;
+/// A point in time or a span, in microseconds.
+pub type Micros = i64;
 
 const SECOND: Micros = 1_000_000;
 /// A connection that is closed so soon after it came up, without a byte, was rejected.
--- a/crates/startup/tests/dial_limiter.rs
+++ b/crates/dial-limiter/tests/dial_limiter.rs
@@ -1,7 +1,6 @@
 //! The dial limiter, each rule by a case that fails without it.
 
-use roselock_startup::dial_limiter::{DialLimiter, DialLimits, rejected_recently};
-use roselock_startup::pace::Micros;
+use roselock_dial_limiter::{DialLimiter, DialLimits, Micros, rejected_recently};
 use rstest::rstest;
 
 const SECOND: Micros = 1_000_000;
--- a/crates/startup/examples/pace.rs
+++ b/crates/discovery-client/examples/poll_schedule.rs
@@ -1,8 +1,8 @@
 //! Plays dispatchers that start in the same second against a list service that serves one call after another, in
-//! simulated time, and prints a table: `cargo run --release -p roselock-startup --example pace`.
+//! simulated time, and prints a table: `cargo run --release -p roselock-discovery-client --example pace`.
 
 use oorandom::Rand64;
-use roselock_startup::pace::{EndReason, Micros, Pace, Round, WatchEnd};
+use roselock_discovery_client::poll_schedule::{EndReason, Micros, Pace, Round, WatchEnd};
 use std::collections::BTreeSet;
 
 const SECOND: Micros = 1_000_000;
--- a/crates/startup/src/lease.rs
+++ b/crates/discovery-client/src/lease.rs
@@ -7,7 +7,7 @@
 //! lease has run out, and it is renewed by a word of the service, or by a call that shows that the service cannot be
 //! reached: a service that is down must not stop the work.
 
-use crate::pace::{ANSWER, EndReason, Micros, SILENCE, TOLD, WatchEnd};
+use crate::poll_schedule::{ANSWER, EndReason, Micros, SILENCE, TOLD, WatchEnd};
 
 /// After the operators have moved the list service, what it knows counts as told so soon.
 const TOLD_AFTER_MOVE: Micros = 4_000_000;
--- a/crates/startup/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -3,7 +3,6 @@
 //! list service, on real sockets and in the simulator alike; [`dial_limiter`] says when a worker may be dialled; [`lease`]
 //! how long a list may be acted on; [`stage`] says how far a start has come.
 
-pub mod dial_limiter;
 pub mod lease;
-pub mod pace;
-pub mod stage;
+pub mod poll_schedule;
+pub mod startup_stage;
--- a/crates/startup/src/stage.rs
+++ b/crates/discovery-client/src/startup_stage.rs
@@ -1,6 +1,6 @@
 //! How far a start has come, as on-call staff and the front see it.
 
-use crate::pace::Micros;
+use crate::poll_schedule::Micros;
 
 /// A stage of the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/startup/tests/pace.rs
+++ b/crates/discovery-client/tests/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! The pace of calls, each rule by a case that fails without it.
 
-use roselock_startup::pace::{EndReason, Micros, Pace, Round, SILENCE, WatchEnd};
+use roselock_discovery_client::poll_schedule::{EndReason, Micros, Pace, Round, SILENCE, WatchEnd};
 use rstest::rstest;
 
 const SECOND: Micros = 1_000_000;
--- a/crates/startup/tests/state_machine_trace.rs
+++ b/crates/discovery-client/tests/state_machine_trace.rs
@@ -2,9 +2,9 @@
 //! through the public interface, each result is encoded as a number, and the hash of all is compared with the one written down.
 
 use oorandom::Rand32;
-use roselock_startup::dial_limiter::{DialLimiter, DialLimits, rejected_recently};
-use roselock_startup::lease::ListLease;
-use roselock_startup::pace::{EndReason, Micros, Pace, Round, WatchEnd};
+use roselock_dial_limiter::{DialLimiter, DialLimits, rejected_recently};
+use roselock_discovery_client::lease::ListLease;
+use roselock_discovery_client::poll_schedule::{EndReason, Micros, Pace, Round, WatchEnd};
 use rstest::rstest;
 use sha2::{Digest, Sha256};
 
--- a/crates/waiting/examples/measure.rs
+++ b/crates/job-dependencies/examples/measure.rs
@@ -1,7 +1,7 @@
 //! Measures the list, and prints tables in Markdown: a flood from one brand under three orders of release, and what
 //! jobs cost by their number.
 
-use roselock_waiting::*;
+use roselock_job_dependencies::*;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
--- a/crates/waiting/tests/model.rs
+++ b/crates/job-dependencies/tests/model.rs
@@ -4,7 +4,7 @@
 //! The space: three jobs, the third waiting for the other two; each is submitted twice at most, and the list restarts
 //! once at most. It is checked whole.
 
-use roselock_waiting::*;
+use roselock_job_dependencies::*;
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
--- a/crates/waiting/tests/waiting.rs
+++ b/crates/job-dependencies/tests/waiting.rs
@@ -1,7 +1,7 @@
 //! The hard cases of waiting jobs, and the list against a simple one that scans.
 
 use proptest::prelude::*;
-use roselock_waiting::*;
+use roselock_job_dependencies::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/dispatcher/src/memory/core.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -1,11 +1,11 @@
 //! The owner of the decisions: one thread that takes inputs from the queue, steps the decision module, and
 //! posts what it decides. Only here does an upstream request end: with one verdict for each send.
 
+mod administration;
 mod attempts;
 mod control_requests;
 mod dial_queue;
 mod hosts;
-mod operation;
 mod steps;
 mod streams;
 
@@ -14,14 +14,14 @@
 use super::*;
 use roselock::settings::fnv;
 use roselock::{Action, Dispatcher, Effect, Event, JobId, JobIn, Listed, Note, Settings};
-use roselock_startup::dial_limiter::{DialLimiter, DialLimits};
-use roselock_startup::stage::Start;
+use roselock_dial_limiter::{DialLimiter, DialLimits};
+use roselock_discovery_client::startup_stage::Start;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::sync::mpsc::RecvTimeoutError;
 
+pub use administration::Operation;
 use control_requests::UnsentWithdrawal;
-pub use operation::Operation;
 
 /// After the deadline, a stream that the decisions have not answered is answered here.
 const BACKSTOP: Micros = 5_000;
@@ -437,5 +437,5 @@
 }
 
 #[cfg(test)]
-#[path = "core_tests.rs"]
+#[path = "event_loop_tests.rs"]
 mod tests;
--- a/dispatcher/src/memory/core/operation.rs
+++ b/dispatcher/src/core/event_loop/administration.rs
@@ -2,8 +2,8 @@
 //! that only it knows (the list, and what the decisions avoid) where the admin address reads them.
 
 use super::*;
-use crate::memory::suspensions::Suspensions;
-use roselock_operation::figures::{End, Figures};
+use crate::core::suspensions::Suspensions;
+use roselock_admin::metrics::{End, Figures};
 
 /// The figures of the list are set anew at most so often, in microseconds: a reader may see them 0.5 s old.
 const PUBLISH: Micros = 100_000;
--- a/dispatcher/src/memory/core/attempts.rs
+++ b/dispatcher/src/core/event_loop/attempts.rs
@@ -1,7 +1,7 @@
 //! Upstream requests: put on a connection, heard of, ended with one verdict, given up.
 
 use super::*;
-use roselock_startup::dial_limiter::rejected_recently;
+use roselock_dial_limiter::rejected_recently;
 
 /// Before the end of the window in which a repeat may be sent, for its way.
 const WITHIN: Micros = 10_000;
--- a/dispatcher/src/memory/core/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -3,7 +3,7 @@
 //! time.
 
 use super::*;
-use roselock_startup::dial_limiter::rejected_recently;
+use roselock_dial_limiter::rejected_recently;
 
 /// Most attempts that wait for one host; one more is not sent, and the decisions place it anew.
 const MAX_QUEUED: usize = 16;
--- a/dispatcher/src/memory/core/hosts.rs
+++ b/dispatcher/src/core/event_loop/hosts.rs
@@ -1,7 +1,7 @@
 //! Upstream hosts: the list, and their idle connections.
 
 use super::*;
-use roselock_startup::dial_limiter::SURPLUS_AFTER;
+use roselock_dial_limiter::SURPLUS_AFTER;
 
 impl Core {
     pub(super) fn list(&mut self, f: FleetId, mode: ListMode, hosts: Vec<ListedHost>) {
--- a/dispatcher/src/memory/core/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -64,7 +64,7 @@
 
     /// Answers a stream that is not taken on.
     pub(super) fn refuse(&self, new: NewStream, answer: Answer) {
-        self.operation.figures.ended(new.class.0 as usize, operation::end(&answer), false);
+        self.operation.figures.ended(new.class.0 as usize, administration::end(&answer), false);
         new.downstream.answer(answer, new.ran);
     }
 
@@ -95,7 +95,7 @@
             Answer::Failed | Answer::Conflict => (Finish::Failed, 0),
             Answer::TimedOut => (Finish::TimedOut, 0),
         };
-        self.operation.figures.ended(stream.class.0 as usize, operation::end(&answer), true);
+        self.operation.figures.ended(stream.class.0 as usize, administration::end(&answer), true);
         stream.downstream.answer(answer, ran);
         self.record(id, finish, sent);
         self.hold_back(id);
--- a/dispatcher/src/memory/mod.rs
+++ b/dispatcher/src/core/mod.rs
@@ -2,14 +2,14 @@
 //! the decisions. Nothing here knows a wire; fronts and upstreams stand behind the traits of this module.
 
 pub mod clock;
-pub mod core;
+pub mod event_loop;
 pub mod pool;
 pub mod suspensions;
 
 use roselock::{
     ClassId, FleetEntry, Gauge, KeyId, ListMode, Micros, Outcome, Settings, TenantId, WatchEnd, WorkerId,
 };
-use roselock_startup::dial_limiter::DialLimits;
+use roselock_dial_limiter::DialLimits;
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::sync::Arc;
--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -1,11 +1,11 @@
 //! The configuration that a dispatcher is started with.
 
-use super::problem::{Place, Problem, parse};
-use super::{log, start};
+use super::settings_error::{Place, Problem, parse};
+use super::{log, startup_settings};
 use crate::wire::list::{List, Target};
 use crate::wire::{gearman, ipfix};
 use roselock::settings::{Options, Site};
-use roselock_startup::dial_limiter::DialLimits;
+use roselock_dial_limiter::DialLimits;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -130,7 +130,7 @@
     #[serde(default)]
     ipfix: Option<ipfix::File>,
     #[serde(default)]
-    start: start::File,
+    start: startup_settings::File,
 }
 
 /// A file of settings that was read: its path, its text, and what its keys begin with.
--- a/dispatcher/src/lifecycle/listen.rs
+++ b/dispatcher/src/lifecycle/listen.rs
@@ -2,7 +2,7 @@
 
 use super::config::Config;
 use super::inherit;
-use crate::memory::clock;
+use crate::core::clock;
 use crate::wire::socket::{ConnectError, LocalRetry};
 use may::net::TcpListener;
 use roselock::{Micros, SECOND};
--- a/dispatcher/src/lifecycle/mod.rs
+++ b/dispatcher/src/lifecycle/mod.rs
@@ -1,11 +1,11 @@
 //! Start and stop.
 
 pub mod config;
-pub mod handover;
 pub mod inherit;
 pub mod listen;
 pub mod log;
-pub mod problem;
 pub mod relay;
 pub mod serve;
-pub mod start;
+pub mod settings_error;
+pub mod startup_settings;
+pub mod suspension_store;
--- a/dispatcher/src/lifecycle/relay.rs
+++ b/dispatcher/src/lifecycle/relay.rs
@@ -2,7 +2,7 @@
 //! listener, so a host's word of a stream may reach the process that does not hold it. Each process appends such
 //! words to a file of its own and reads the files of the other processes of its name (docs/design/operation.md).
 
-use crate::memory::{Inbox, Relay};
+use crate::core::{Inbox, Relay};
 use crate::wire::callbacks;
 use roselock::settings::{Site, fnv};
 use std::collections::{HashMap, VecDeque};
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -2,22 +2,22 @@
 
 use super::config::{self, Config};
 use super::log;
-use super::{handover, listen, relay};
-use crate::memory::core::{Core, Operation, longest};
-use crate::memory::{FleetId, Inbox, Input, clock};
+use super::{listen, relay, suspension_store};
+use crate::core::event_loop::{Core, Operation, longest};
+use crate::core::{FleetId, Inbox, Input, clock};
 use crate::wire::admin::{self, Admin};
+use crate::wire::connection_limiter::Table;
 use crate::wire::discovery::{Progress, Registry, Watch};
 use crate::wire::front::{self, Front};
 use crate::wire::gearman::{self, Gearman};
 use crate::wire::ipfix;
 use crate::wire::list::hosts;
 use crate::wire::list_history::ListHistory;
-use crate::wire::table::Table;
 use crate::wire::upstream::HttpDialer;
 use may::sync::mpsc::channel;
 use roselock::settings::{Site, fnv};
 use roselock::{Micros, Settings};
-use roselock_startup::pace::Pace;
+use roselock_discovery_client::poll_schedule::Pace;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::sync::Arc;
@@ -58,8 +58,8 @@
     };
     let registry = Registry::new(config.discovery, ask, !config.site.settings.must_watch);
     let flows = config.ipfix.as_ref().map(|file| ipfix::start(file, &site)).transpose()?;
-    let owner = handover::Owner { site: config.listen.to_string(), name: config.name.clone() };
-    let kept = handover::begin(owner, &operation.suspensions);
+    let owner = suspension_store::Owner { site: config.listen.to_string(), name: config.name.clone() };
+    let kept = suspension_store::begin(owner, &operation.suspensions);
     let mut core = Core::new(inbox.clone(), outlet, flows, operation.clone());
     // Only its list counts as told unheard: what comes to us by itself is told by its connection.
     let settings = Settings { lease_list: true, ..site.settings.clone() };
@@ -140,7 +140,7 @@
         may::go!(move || admin::accept(admin, &listener));
         tracing::info!("{}: admin on {listen}", config.name);
     }
-    handover::keep(kept, operation.suspensions.clone(), inbox.clone());
+    suspension_store::keep(kept, operation.suspensions.clone(), inbox.clone());
     if inherited {
         core.set_relay(relay::start(&config.name, front.site.clone(), inbox.clone()));
     }
--- a/dispatcher/src/lifecycle/start.rs
+++ b/dispatcher/src/lifecycle/startup_settings.rs
@@ -1,8 +1,8 @@
 //! `[start]` of the operators' file: how a dispatcher starts beside hundreds of others.
 
-use super::problem::Problem;
+use super::settings_error::Problem;
 use roselock::{Micros, SECOND};
-use roselock_startup::dial_limiter::DialLimits;
+use roselock_dial_limiter::DialLimits;
 use serde::Deserialize;
 use toml::Spanned;
 
--- a/dispatcher/src/lifecycle/handover.rs
+++ b/dispatcher/src/lifecycle/suspension_store.rs
@@ -2,9 +2,9 @@
 //! upgrade: the suspended workers. A thread of its own writes the file when they change, and reads it when
 //! another process has written it, so that a call at either of two processes that serve side by side holds at both.
 
-use crate::memory::Inbox;
-use crate::memory::suspensions::{SuspendedWorkers, Suspensions};
-use roselock_operation::saved::Saved;
+use crate::core::Inbox;
+use crate::core::suspensions::{SuspendedWorkers, Suspensions};
+use roselock_admin::suspension_file::Saved;
 use std::fs::File;
 use std::io::Write;
 use std::os::unix::fs::MetadataExt;
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,8 +1,8 @@
 //! The dispatcher on real sockets: what is spoken on the wire, what is kept in memory, start and stop.
 
 mod cli;
+mod core;
 mod lifecycle;
-mod memory;
 mod wire;
 
 fn main() -> std::process::ExitCode {
--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -2,15 +2,15 @@
 //! from shared figures and never wait behind client traffic or the owner's queue; a change waits for the owner
 //! at most [`TOLD_WITHIN`].
 
+use super::connection_limiter::{Rank, Table};
 use super::http::by;
 use super::socket::Socket;
-use super::table::{Rank, Table};
-use crate::memory::suspensions::{SetResult, Suspensions};
-use crate::memory::{Inbox, clock};
+use crate::core::suspensions::{SetResult, Suspensions};
+use crate::core::{Inbox, clock};
 use may::net::{TcpListener, TcpStream};
 use roselock::{Micros, SECOND};
-use roselock_operation::call::{self, Call, Lines, Next};
-use roselock_operation::figures::Figures;
+use roselock_admin::command::{self, Call, Lines, Next};
+use roselock_admin::metrics::Figures;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
         loop {
             let answer = match lines.line() {
                 Next::Line(line) => answer(admin, line),
-                Next::TooLong => call::Wrong::TooLong.answer().to_owned() + "\n",
+                Next::TooLong => command::Wrong::TooLong.answer().to_owned() + "\n",
                 Next::More => break,
             };
             if socket.write(&[answer.as_bytes()], by(TRANSFER)).is_err() || !spare.keep() {
@@ -75,7 +75,7 @@
 
 /// The answer to one line, with its end.
 fn answer(admin: &Admin, line: &[u8]) -> String {
-    let call = match call::parse(line) {
+    let call = match command::parse(line) {
         Ok(call) => call,
         Err(wrong) => return wrong.answer().to_owned() + "\n",
     };
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -1,6 +1,6 @@
 //! The call-backs in which upstream hosts tell what becomes of a stream.
 
-use crate::memory::{Inbox, Input, Told};
+use crate::core::{Inbox, Input, Told};
 use roselock::Outcome;
 use roselock::settings::{self, Site};
 use serde::Deserialize;
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -5,11 +5,11 @@
 mod room;
 mod writer;
 
-use super::table::Table;
-use crate::memory::{FleetId, Inbox};
+use super::connection_limiter::Table;
+use crate::core::{FleetId, Inbox};
 use may::net::TcpListener;
 use roselock::settings::Site;
-use roselock_operation::figures::Figures;
+use roselock_admin::metrics::Figures;
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -4,14 +4,14 @@
 use super::room::{Bulk, Held};
 use super::writer::{Writer, Written};
 use super::{CALLED_BACK, Front};
-use crate::memory::{Input, NewStream, StreamId};
+use crate::core::{Input, NewStream, StreamId};
 use crate::wire::callbacks;
+use crate::wire::connection_limiter::{HELLO, INCOMING, Rank, Spare};
 use crate::wire::http::{self, Bad, Message, Reader, by};
 use crate::wire::socket::Socket;
-use crate::wire::table::{HELLO, INCOMING, Rank, Spare};
 use may::net::TcpStream;
 use roselock::{Micros, SECOND};
-use roselock_operation::figures::End;
+use roselock_admin::metrics::End;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/dispatcher/src/wire/front/request.rs
+++ b/dispatcher/src/wire/front/request.rs
@@ -1,7 +1,7 @@
 //! What a client's request asks for.
 
 use super::Front;
-use crate::memory::{Answer, Downstream, NewStream, Payload};
+use crate::core::{Answer, Downstream, NewStream, Payload};
 use crate::wire::http::Message;
 use roselock::settings::fnv;
 use roselock::{ClassId, KeyId, Micros, SECOND, TenantId};
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -2,10 +2,10 @@
 
 use super::room::Held;
 use super::{Front, lock};
-use crate::memory::{Answer, Downstream, Inbox};
+use crate::core::{Answer, Downstream, Inbox};
+use crate::wire::connection_limiter::{Rank, Spare};
 use crate::wire::http::{self, by};
 use crate::wire::socket::Socket;
-use crate::wire::table::{Rank, Spare};
 use may::sync::mpsc::{Receiver, Sender, channel};
 use roselock::{Micros, SECOND};
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -2,9 +2,9 @@
 
 use super::outbox::{self, Outbox, OutboxMessage};
 use super::{Gearman, Peer, TRANSFER, admin, error, jobs, lock, reply};
+use crate::wire::connection_limiter::{HELLO, INCOMING, Rank, Spare};
 use crate::wire::http::by;
 use crate::wire::socket::Socket;
-use crate::wire::table::{HELLO, INCOMING, Rank, Spare};
 use may::net::{TcpListener, TcpStream};
 use may::sync::mpsc::channel;
 use roselock::{Micros, SECOND};
--- a/dispatcher/src/wire/gearman/file.rs
+++ b/dispatcher/src/wire/gearman/file.rs
@@ -1,7 +1,7 @@
 //! The front's settings: what the operators' file says, and what follows from it.
 
-use crate::lifecycle::problem::Problem;
-use crate::memory::FleetId;
+use crate::core::FleetId;
+use crate::lifecycle::settings_error::Problem;
 use roselock::settings::Site;
 use roselock::{ClassId, Effect, Micros, SECOND, Settings, TenantId};
 use roselock_backlog::{Bounds, FunctionSettings, Window};
--- a/dispatcher/src/wire/gearman/jobs.rs
+++ b/dispatcher/src/wire/gearman/jobs.rs
@@ -1,7 +1,7 @@
 //! The clients' side: jobs, who waits for them, and their last words.
 
 use super::{Gearman, Jobs, Peer, Tail, error, lock, reply};
-use crate::memory::{Answer, Downstream, Feed, Input, NewStream, Payload, Saying, StreamId, clock};
+use crate::core::{Answer, Downstream, Feed, Input, NewStream, Payload, Saying, StreamId, clock};
 use roselock::{Micros, SECOND};
 use roselock_backlog::{Completion, EndedJob, Ending, Job, JobNo, NewJob, Rejection, State, Waiter};
 use roselock_gearman::{Kind, Packet, Submission, When, submit::Invalid};
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -11,8 +11,8 @@
 mod timers;
 mod worker;
 
-use super::table::Table;
-use crate::memory::{FleetId, Inbox, Input};
+use super::connection_limiter::Table;
+use crate::core::{FleetId, Inbox, Input};
 use arc_swap::ArcSwap;
 pub use connection::accept;
 pub use file::File;
@@ -37,7 +37,7 @@
 
 /// What the front's coroutines and the owner of the decisions share, in short sections without waits inside.
 struct Jobs {
-    backlog: Backlog<Seat, crate::memory::Payload>,
+    backlog: Backlog<Seat, crate::core::Payload>,
     /// By function: workers that take it, those free for it, those that have a job of it.
     tally: Vec<Tally>,
     /// The owner knows that there is something to release.
--- a/dispatcher/src/wire/gearman/outbox.rs
+++ b/dispatcher/src/wire/gearman/outbox.rs
@@ -2,7 +2,7 @@
 
 use super::worker::{self, Held};
 use super::{Gearman, Peer, TRANSFER};
-use crate::memory::{Payload, UpstreamId, UpstreamRequest};
+use crate::core::{Payload, UpstreamId, UpstreamRequest};
 use crate::wire::http::by;
 use crate::wire::socket::Socket;
 use may::sync::mpsc::{Receiver, Sender};
--- a/dispatcher/src/wire/gearman/reload.rs
+++ b/dispatcher/src/wire/gearman/reload.rs
@@ -2,8 +2,8 @@
 
 use super::file::{self, File, Function};
 use super::{Gearman, Tally, lock};
-use crate::lifecycle::problem::Problem;
-use crate::memory::Input;
+use crate::core::Input;
+use crate::lifecycle::settings_error::Problem;
 use roselock::settings::{Site, fnv};
 use std::sync::Arc;
 
--- a/dispatcher/src/wire/gearman/timers.rs
+++ b/dispatcher/src/wire/gearman/timers.rs
@@ -1,7 +1,7 @@
 //! What time does to jobs and workers.
 
 use super::{Gearman, jobs, lock};
-use crate::memory::clock;
+use crate::core::clock;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/dispatcher/src/wire/gearman/worker.rs
+++ b/dispatcher/src/wire/gearman/worker.rs
@@ -1,7 +1,7 @@
 //! The workers' side: a connection that registers a function is an upstream host of that function's fleet.
 
 use super::{Gearman, OutboxMessage, Peer, Tail, error, lock, reply};
-use crate::memory::{
+use crate::core::{
     Ask, Heard, Input, Link, LinkIs, ListedHost, Payload, Saying, UpstreamId, UpstreamRequest, clock,
 };
 use roselock::settings::fnv;
--- a/dispatcher/src/wire/http.rs
+++ b/dispatcher/src/wire/http.rs
@@ -2,7 +2,7 @@
 
 use super::arrivals::Arrivals;
 use super::socket::Socket;
-use crate::memory::clock;
+use crate::core::clock;
 use roselock::Micros;
 use std::io::ErrorKind;
 use std::ops::Range;
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -3,8 +3,8 @@
 //! A bounded queue stands between the decisions and the exporter: what does not fit is dropped and counted, and
 //! the count is exported with the templates.
 
-use crate::lifecycle::problem::Problem;
-use crate::memory::{Finish, Flow, FlowSink, clock};
+use crate::core::{Finish, Flow, FlowSink, clock};
+use crate::lifecycle::settings_error::Problem;
 use may::net::UdpSocket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use roselock::settings::Site;
--- a/dispatcher/src/wire/list.rs
+++ b/dispatcher/src/wire/list.rs
@@ -1,6 +1,6 @@
 //! The list of upstream hosts as it is written, and how lists are found in the bytes of a watch. No I/O.
 
-use crate::memory::ListedHost;
+use crate::core::ListedHost;
 use roselock::settings::{Site, fnv};
 use roselock::{CellId, FleetEntry, KindId, Listed, Micros, WorkerId, ZoneId};
 use serde::Deserialize;
--- a/dispatcher/src/wire/mod.rs
+++ b/dispatcher/src/wire/mod.rs
@@ -3,6 +3,7 @@
 pub mod admin;
 pub mod arrivals;
 pub mod callbacks;
+pub mod connection_limiter;
 pub mod discovery;
 pub mod front;
 pub mod gearman;
@@ -11,5 +12,4 @@
 pub mod list;
 pub mod list_history;
 pub mod socket;
-pub mod table;
 pub mod upstream;
--- a/dispatcher/src/wire/socket.rs
+++ b/dispatcher/src/wire/socket.rs
@@ -4,7 +4,7 @@
 //! `peek`; all other calls go to the non-blocking socket itself, so that one side may write, and any side close,
 //! while another waits to read, without a second descriptor.
 
-use crate::memory::clock;
+use crate::core::clock;
 use may::net::TcpStream;
 use roselock::Micros;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -2,14 +2,14 @@
 
 use super::http::{self, Bad, Message, Reader, by};
 use super::socket::{ConnectError, LocalRetry, Socket};
-use crate::memory::{
+use crate::core::{
     Ask, Dialer, Heard, Inbox, Input, Link, LinkIs, Payload, UpstreamId, UpstreamRequest, clock,
 };
 use may::sync::mpsc::{Receiver, Sender, channel};
 use roselock::settings::Site;
 use roselock::{Gauge, Micros, Outcome};
-use roselock_operation::figures::Figures;
-use roselock_startup::dial_limiter::IMMEDIATE_CLOSE;
+use roselock_admin::metrics::Figures;
+use roselock_dial_limiter::IMMEDIATE_CLOSE;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/dispatcher/src/wire/upstream_tests.rs
+++ b/dispatcher/src/wire/upstream_tests.rs
@@ -1,7 +1,7 @@
 //! Connections to upstream hosts.
 
 use super::*;
-use crate::memory::Payload;
+use crate::core::Payload;
 use roselock::Micros;
 use rstest::rstest;
 use std::io::{Read, Write};
--- a/src/api.rs
+++ b/src/api.rs
@@ -7,8 +7,8 @@
 //! [`Event::Alarm`] for each [`Action::Timer`]. For each [`Event::Job`] the dispatcher owes one final answer, unless
 //! a verdict said `last`, its stream was accepted, or the client left.
 
-use roselock_startup::pace::Round;
-pub use roselock_startup::pace::{EndReason, WatchEnd};
+use roselock_discovery_client::poll_schedule::Round;
+pub use roselock_discovery_client::poll_schedule::{EndReason, WatchEnd};
 use std::fmt;
 
 /// A point in time or a span, in microseconds.
@@ -244,7 +244,7 @@
     /// Discovery must be asked ([`Action::Watch`]); otherwise changes come by themselves.
     pub must_watch: bool,
     /// Whether changes count as told unheard once the watch has been closed for a while, so that the list is held under a
-    /// lease ([`roselock_startup::lease`]).
+    /// lease ([`roselock_discovery_client::lease`]).
     pub lease_list: bool,
     /// What one call is taken to cost discovery before any was made; then the pace follows what calls show.
     pub list_call: Micros,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -6,7 +6,7 @@
 use crate::api::*;
 pub use crate::state::Dispatcher;
 use crate::state::*;
-use roselock_startup::pace::GOLDEN;
+use roselock_discovery_client::poll_schedule::GOLDEN;
 use std::collections::BTreeSet;
 
 const WINDOW: f64 = 256.0; // length of the payoff window in ticks, by which T is pushed on when it is reached
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,8 +2,8 @@
 
 use crate::api::*;
 use crate::rules::{POOL_WEIGHT, WATCH_TOKEN};
-use roselock_startup::lease::ListLease;
-use roselock_startup::pace::{GOLDEN, Pace};
+use roselock_discovery_client::lease::ListLease;
+use roselock_discovery_client::poll_schedule::{GOLDEN, Pace};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Look-ahead of the prices, in ticks: longer runs are priced as if they ended there.
