--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -34,20 +34,20 @@
         let event = match event {
             wire::Event::Attach { .. } | wire::Event::Down | wire::Event::Datagram => return Ok(()),
             wire::Event::Fleet { mode, .. } if mode.0 == "X" => {
-                let end = WatchEnd { reason: EndReason::Refused, as_of: now };
+                let end = WatchEnd { reason: WatchEndReason::Refused, in_sync_until: now };
                 Event::WatchEnded(end)
             }
             wire::Event::Fleet { mode, hosts } => {
                 let mode = match &*mode.0 {
                     "D" => ListMode::Changes,
                     "F" => ListMode::Complete,
-                    "C" => ListMode::Known,
+                    "C" => ListMode::Cached,
                     other => return Err(format!("fleet: unknown mode {other:?}")),
                 };
                 let entries = hosts.iter().map(|h| self.entry(h)).collect::<Result<_, _>>()?;
-                Event::Fleet { mode, entries }
+                Event::EndpointList { mode, endpoints: entries }
             }
-            wire::Event::JobIn(j) => Event::Job(JobIn {
+            wire::Event::JobIn(j) => Event::JobArrived(JobRequest {
                 job: JobId(j.rid),
                 class: match self.site.classes.known(&j.service.0) {
                     Some(c) => ClassId(c as u16),
@@ -60,50 +60,52 @@
                 key: (!j.key.0.is_empty()).then(|| KeyId(fnv(j.key.0.as_bytes()))),
                 budget: micros(j.budget),
             }),
-            wire::Event::Health { verdict, worker, gauge } => Event::Health {
+            wire::Event::Health { verdict, worker, gauge } => Event::HealthCheckEnded {
                 worker: WorkerId(fnv(worker.0.as_bytes())),
                 ok: verdict.0 == "OK",
-                gauge: self.site.gauge(gauge),
+                report: self.site.load_report(gauge),
             },
             wire::Event::Notice { rid, round, what, amount } => {
                 let note = match what {
-                    1 => Note::Started,
-                    2 => Note::Progress(*amount),
+                    1 => AttemptUpdate::Started,
+                    2 => AttemptUpdate::Progress(*amount),
                     _ => return Ok(()),
                 };
-                Event::Notice { job: JobId(*rid), round: *round, note }
+                Event::AttemptProgress { job: JobId(*rid), attempt: *round, update: note }
             }
-            wire::Event::Alarm { nonce } => Event::Alarm(*nonce),
-            wire::Event::Cancelled { rid } => Event::CancelledByClient(JobId(*rid)),
-            wire::Event::Verdict { rid, round, verdict, last, gauge } => Event::Verdict {
+            wire::Event::Alarm { nonce } => Event::TimerFired(*nonce),
+            wire::Event::Cancelled { rid } => Event::ClientDisconnected(JobId(*rid)),
+            wire::Event::Verdict { rid, round, verdict, last, gauge } => Event::AttemptEnded {
                 job: JobId(*rid),
-                round: *round,
+                attempt: *round,
                 outcome: outcome(&verdict.0)?,
-                last: *last,
-                gauge: self.site.gauge(gauge),
+                concluded: *last,
+                report: self.site.load_report(gauge),
             },
-            wire::Event::Accepted { rid, round } => Event::Accepted { job: JobId(*rid), round: *round },
+            wire::Event::Accepted { rid, round } => {
+                Event::StreamAccepted { job: JobId(*rid), attempt: *round }
+            }
         };
         self.events.push(event);
         Ok(())
     }
 
-    fn entry(&mut self, h: &wire::Host) -> Result<FleetEntry, String> {
+    fn entry(&mut self, h: &wire::Host) -> Result<Endpoint, String> {
         let worker = fnv(h.worker.0.as_bytes());
         self.workers.entry(worker).or_insert_with(|| h.worker.0.to_string());
-        Ok(FleetEntry {
+        Ok(Endpoint {
             worker: WorkerId(worker),
             state: match &*h.health.0 {
-                "ready" => Listed::Ready,
-                "draining" => Listed::Draining,
-                "gone" => Listed::Gone,
+                "ready" => EndpointState::Ready,
+                "draining" => EndpointState::Draining,
+                "gone" => EndpointState::Gone,
                 other => return Err(format!("fleet: unknown health {other:?}")),
             },
             zone: ZoneId(self.site.zones.id(&h.site.0) as u16),
             cell: CellId(h.cell),
             kind: KindId(self.site.kinds.id(&h.sku.0) as u16),
             units: h.units,
-            up_since: (h.up_since > 0.0).then(|| micros(h.up_since)),
+            started_at: (h.up_since > 0.0).then(|| micros(h.up_since)),
         })
     }
 
@@ -125,12 +127,12 @@
     Ok(match code {
         "OK" => Outcome::Ok,
         "INTERNAL" => Outcome::Error,
-        "RESOURCE_EXHAUSTED" => Outcome::Full,
+        "RESOURCE_EXHAUSTED" => Outcome::Rejected,
         "DEADLINE_EXCEEDED" => Outcome::Timeout,
         "UNAVAILABLE" => Outcome::ConnectFailed,
         "ABORTED" => Outcome::Reset,
         "CANCELLED" => Outcome::Cancelled,
-        "TOO_LATE" => Outcome::Moot,
+        "TOO_LATE" => Outcome::NotStarted,
         other => return Err(format!("verdict: unknown code {other:?}")),
     })
 }
@@ -142,17 +144,19 @@
     let worker = |w: &WorkerId| text(address(w));
     // Writing to a string cannot fail.
     let _ = match action {
-        Action::Send { job, worker: w, max_wait } => {
-            write!(reply, r#"["callOut",{},{},{}]"#, job.0, worker(w), seconds(*max_wait))
+        Action::Send { job, worker: w, timeout } => {
+            write!(reply, r#"["callOut",{},{},{}]"#, job.0, worker(w), seconds(*timeout))
+        }
+        Action::Cancel { job, attempt } => write!(reply, r#"["abortAttempt",{},{attempt}]"#, job.0),
+        Action::Reject { job, retry_after } => {
+            write!(reply, r#"["bounce",{},{}]"#, job.0, seconds(*retry_after))
         }
-        Action::Cancel { job, round } => write!(reply, r#"["abortAttempt",{},{round}]"#, job.0),
-        Action::Refuse { job, backoff } => write!(reply, r#"["bounce",{},{}]"#, job.0, seconds(*backoff)),
         Action::Fail { job } => write!(reply, r#"["reportFailure",{}]"#, job.0),
-        Action::Timer { after, token } => write!(reply, r#"["defer",{},{token}]"#, seconds(*after)),
-        Action::Watch => write!(reply, r#"["watch",true]"#),
-        Action::Probe(w) => write!(reply, r#"["soundOut",{}]"#, worker(w)),
-        Action::Close(w) => write!(reply, r#"["hangUp",{}]"#, worker(w)),
-        Action::Log { text: said, worker: w } => {
+        Action::Timer { delay, token } => write!(reply, r#"["defer",{},{token}]"#, seconds(*delay)),
+        Action::WatchEndpoints => write!(reply, r#"["watch",true]"#),
+        Action::HealthCheck(w) => write!(reply, r#"["soundOut",{}]"#, worker(w)),
+        Action::CloseIdleConnections(w) => write!(reply, r#"["hangUp",{}]"#, worker(w)),
+        Action::Log { message: said, worker: w } => {
             write!(reply, r#"["sayLog",{}]"#, text(&format!("{} {said}", address(w))))
         }
     };
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -5,7 +5,7 @@
 use crate::site::Site;
 use crate::{Micros, SECOND};
 use oorandom::Rand64;
-use roselock::{Action, Dispatcher, Event, Gauge, JobId, Note, Outcome, WorkerId};
+use roselock::{Action, AttemptUpdate, Dispatcher, Event, JobId, LoadReport, Outcome, WorkerId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -147,7 +147,7 @@
     pub fn listed(site: Site, seed: u64) -> Result<Hollow, CapacityError> {
         let mut hollow = Hollow::new(site, seed)?;
         hollow.give(&[])?;
-        hollow.pass(hollow.site.settings().safety.ask_within)?;
+        hollow.pass(hollow.site.settings().safety.poll_interval)?;
         if hollow.counts.watches == 0 {
             return Err(CapacityError::NotReached { state: "a call to the list service", by: hollow.now });
         }
@@ -240,7 +240,7 @@
 
     fn happen(&mut self, due: Due) -> Option<Event> {
         match due {
-            Due::Alarm(token) => Some(Event::Alarm(token)),
+            Due::Alarm(token) => Some(Event::TimerFired(token)),
             Due::Listed => Some(self.site.whole_list(self.now)),
             Due::Request => self.request(),
             Due::Arrived(id) => self.arrived(id),
@@ -261,7 +261,7 @@
         let urgent = load.urgent > 0.0 && self.random.rand_float() < load.urgent;
         let request = Request { arrived: self.now, urgent, started: false, rounds: 0 };
         self.requests.insert(self.next_job, request);
-        Some(Event::Job(self.site.job(self.next_job, draw, urgent)))
+        Some(Event::JobArrived(self.site.job(self.next_job, draw, urgent)))
     }
 
     /// It starts at once, waits, or is turned away.
@@ -272,7 +272,7 @@
             return self.started(id);
         }
         if worker.waiting.len() >= QUEUE * self.site.accelerators as usize {
-            return self.end(id, Outcome::Full);
+            return self.end(id, Outcome::Rejected);
         }
         worker.waiting.push_back(id);
         None
@@ -289,13 +289,17 @@
             self.urgent_waits.push(Some(self.now - request.arrived));
         }
         request.started = true;
-        Some(Event::Notice { job: JobId(id.job), round: id.round, note: Note::Started })
+        Some(Event::AttemptProgress { job: JobId(id.job), attempt: id.round, update: AttemptUpdate::Started })
     }
 
     fn progress(&mut self, id: Id) -> Option<Event> {
         self.out.get(&id)?;
         self.put(self.now + PROGRESS, Due::Progress(id));
-        Some(Event::Notice { job: JobId(id.job), round: id.round, note: Note::Progress(0.5) })
+        Some(Event::AttemptProgress {
+            job: JobId(id.job),
+            attempt: id.round,
+            update: AttemptUpdate::Progress(0.5),
+        })
     }
 
     /// An attempt ends, and what waits at its worker starts.
@@ -319,27 +323,33 @@
             self.counts.served += 1;
             self.requests.remove(&id.job);
         }
-        let gauge = Gauge { free_slots: Some(f64::from(free)), delayed: true, ..Gauge::default() };
-        Some(Event::Verdict { job: JobId(id.job), round: id.round, outcome, last, gauge })
+        let gauge = LoadReport { free_slots: Some(f64::from(free)), delayed: true, ..LoadReport::default() };
+        Some(Event::AttemptEnded {
+            job: JobId(id.job),
+            attempt: id.round,
+            outcome,
+            concluded: last,
+            report: gauge,
+        })
     }
 
     fn perform(&mut self, action: &Action) {
         match action {
-            Action::Timer { after, token } => {
+            Action::Timer { delay, token } => {
                 self.counts.timers += 1;
-                self.put(self.now + (*after).max(1), Due::Alarm(*token));
+                self.put(self.now + (*delay).max(1), Due::Alarm(*token));
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 self.counts.watches += 1;
                 self.put(self.now + WAY, Due::Listed);
             }
             Action::Send { job, worker, .. } => self.send(job.0, *worker),
-            Action::Cancel { job, round } => {
-                let id = Id { job: job.0, round: *round };
+            Action::Cancel { job, attempt } => {
+                let id = Id { job: job.0, round: *attempt };
                 self.put(self.now + 2 * WAY, Due::Cancelled(id));
             }
-            Action::Refuse { job, .. } | Action::Fail { job } => self.turn_away(job.0),
-            Action::Probe(_) | Action::Close(_) | Action::Log { .. } => {}
+            Action::Reject { job, .. } | Action::Fail { job } => self.turn_away(job.0),
+            Action::HealthCheck(_) | Action::CloseIdleConnections(_) | Action::Log { .. } => {}
         }
     }
 
--- a/crates/capacity/src/service.rs
+++ b/crates/capacity/src/service.rs
@@ -3,7 +3,7 @@
 
 use crate::{Micros, SECOND};
 use oorandom::Rand64;
-use roselock_discovery_client::poll_schedule::{EndReason, Pace, Round, WatchEnd};
+use roselock_discovery_client::poll_schedule::{PollParameters, PollSchedule, WatchEnd, WatchEndReason};
 use std::collections::BTreeSet;
 
 /// A call that has not begun to be served after so long is turned away.
@@ -11,7 +11,7 @@
 /// The longest time without a call that counts as up to date.
 const WITHIN: Micros = 10 * SECOND;
 /// What a call is guessed to take before the first one.
-const GUESS: Micros = roselock::LIST_CALL;
+const GUESS: Micros = roselock::DEFAULT_LIST_CALL_TIME;
 /// A run ends after so long; who has no answer then counts with that time.
 pub const END: Micros = 600 * SECOND;
 
@@ -86,31 +86,33 @@
         self.call + (transfer * SECOND as f64) as Micros
     }
 
-    fn round(&self, me: u32) -> Round {
-        Round { all: self.dispatchers, me, within: WITHIN }
+    fn round(&self, me: u32) -> PollParameters {
+        PollParameters { instance_count: self.dispatchers, instance_index: me, poll_interval: WITHIN }
     }
 
     /// Plays an occasion.
     pub fn play(&self, occasion: Occasion, seed: u64) -> Calls {
-        let mut paces: Vec<Pace> = (0..self.dispatchers).map(|_| Pace::new(GUESS)).collect();
+        let mut paces: Vec<PollSchedule> = (0..self.dispatchers).map(|_| PollSchedule::new(GUESS)).collect();
         let mut random = Rand64::new(u128::from(seed));
-        let first = |me: u32, pace: &mut Pace| pace.first(self.round(me));
+        let first = |me: u32, pace: &mut PollSchedule| pace.first_delay(self.round(me));
         let calls = self.round_of_calls(&mut paces, &mut random, 0, first);
         if occasion == Occasion::Start {
             return calls;
         }
         let broken = 2 * END;
-        let again = |me: u32, pace: &mut Pace| pace.ended(broken, self.round(me), 0.0, refused(broken));
+        let again = |me: u32, pace: &mut PollSchedule| {
+            pace.delay_after_end(broken, self.round(me), 0.0, refused(broken))
+        };
         self.round_of_calls(&mut paces, &mut random, broken, again)
     }
 
     /// From the first call of each until all are answered.
     fn round_of_calls(
         &self,
-        paces: &mut [Pace],
+        paces: &mut [PollSchedule],
         random: &mut Rand64,
         start: Micros,
-        first: impl Fn(u32, &mut Pace) -> Micros,
+        first: impl Fn(u32, &mut PollSchedule) -> Micros,
     ) -> Calls {
         let mut calls = Calls { bytes: self.bytes, ..Calls::default() };
         let mut due: BTreeSet<(Micros, Due, u32)> = BTreeSet::new();
@@ -122,7 +124,7 @@
             let pace = &mut paces[me as usize];
             match what {
                 Due::Call => {
-                    pace.called(now);
+                    pace.begin_poll(now);
                     let (at, served) = self.call_at(now, &mut free_at);
                     queue.retain(|(ends, _): &(Micros, u32)| *ends > now);
                     queue.insert((at, me));
@@ -132,11 +134,11 @@
                 }
                 Due::Failed => {
                     calls.failed += 1;
-                    let wait = pace.ended(now, self.round(me), random.rand_float(), refused(now));
+                    let wait = pace.delay_after_end(now, self.round(me), random.rand_float(), refused(now));
                     due.insert((now + wait, Due::Call, me));
                 }
                 Due::Answered => {
-                    pace.answered(now);
+                    pace.record_answer(now);
                     calls.answered.push(now - start);
                     calls.sent.push(now - start);
                 }
@@ -160,5 +162,5 @@
 
 /// The service refused a call, or ended a watch, at that time.
 fn refused(as_of: Micros) -> WatchEnd {
-    WatchEnd { reason: EndReason::Refused, as_of }
+    WatchEnd { reason: WatchEndReason::Refused, in_sync_until: as_of }
 }
--- a/crates/capacity/src/site.rs
+++ b/crates/capacity/src/site.rs
@@ -2,8 +2,8 @@
 
 use crate::{Micros, SECOND};
 use roselock::{
-    CellId, Class, ClassId, Costs, Effect, Event, FleetEntry, JobId, JobIn, KindId, Limits, ListMode, Listed,
-    Safety, Settings, Tenant, TenantId, WorkerId, ZoneId,
+    CellId, Class, ClassId, Costs, Endpoint, EndpointState, Event, Idempotency, JobId, JobRequest, KindId,
+    Limits, ListMode, Safety, Settings, Tenant, TenantId, WorkerId, ZoneId,
 };
 
 /// Workers of the target.
@@ -72,28 +72,31 @@
 
     /// What one dispatcher is told at its start. The figures are those of the site portal-norte.
     pub fn settings(&self) -> Settings {
-        let mut classes = vec![class(Effect::Safe, SAFE_AIM, 1.75), class(Effect::Unsafe, UNSAFE_AIM, 2.0)];
+        let mut classes = vec![
+            class(Idempotency::Idempotent, SAFE_AIM, 1.75),
+            class(Idempotency::NonIdempotent, UNSAFE_AIM, 2.0),
+        ];
         if self.urgent {
-            let urgent = class(Effect::Safe, URGENT_AIM, 1.0);
-            classes.push(Class { worth: URGENT_WORTH, ..urgent });
+            let urgent = class(Idempotency::Idempotent, URGENT_AIM, 1.0);
+            classes.push(Class { priority_weight: URGENT_WORTH, ..urgent });
         }
         let mut settings = Settings::new(classes);
         settings.fleet_size = self.dispatchers;
-        settings.me = self.dispatchers / 2;
+        settings.instance_index = self.dispatchers / 2;
         settings.tenants = self.tenants();
-        settings.over_share_worth = 0.2;
-        settings.must_watch = true;
-        settings.tells_start = true;
-        settings.progress = SECOND;
+        settings.over_quota_weight = 0.2;
+        settings.watch_required = true;
+        settings.reports_start = true;
+        settings.progress_interval = SECOND;
         settings.tick = TICK;
         settings.limits = limits();
-        settings.costs = Costs { cross_zone: 0.03, handshake: 0.02, waste: 0.05, ..Costs::default() };
+        settings.costs = Costs { cross_zone: 0.03, handshake: 0.02, wasted_work: 0.05, ..Costs::default() };
         settings.safety = Safety {
-            ask_within: 10 * SECOND,
-            cold_share: COLD_SHARE,
-            cold: COLD,
-            fall_multiple: 4.0,
-            fall: SECOND,
+            poll_interval: 10 * SECOND,
+            initial_capacity_fraction: COLD_SHARE,
+            slow_start_window: COLD,
+            overload_multiple: 4.0,
+            overload_window: SECOND,
             ..Safety::default()
         };
         settings
@@ -105,39 +108,40 @@
     }
 
     /// One worker as the list has it.
-    pub fn entry(&self, worker: u32, state: Listed, now: Micros) -> FleetEntry {
-        FleetEntry {
+    pub fn entry(&self, worker: u32, state: EndpointState, now: Micros) -> Endpoint {
+        Endpoint {
             worker: WorkerId(u64::from(worker)),
             state,
             zone: ZoneId((worker % self.zones.max(1)) as u16),
             cell: CellId(worker / CELL),
             kind: KindId((worker % KINDS) as u16),
             units: f64::from(self.accelerators),
-            up_since: self.cold.then_some(now),
+            started_at: self.cold.then_some(now),
         }
     }
 
     /// The whole list, all workers ready; `started` is when they started, where they are cold.
     pub fn whole_list(&self, started: Micros) -> Event {
-        let entries = (0..self.workers).map(|worker| self.entry(worker, Listed::Ready, started)).collect();
-        Event::Fleet { mode: ListMode::Complete, entries }
+        let entries =
+            (0..self.workers).map(|worker| self.entry(worker, EndpointState::Ready, started)).collect();
+        Event::EndpointList { mode: ListMode::Complete, endpoints: entries }
     }
 
     /// A change of one line.
-    pub fn change(&self, worker: u32, state: Listed) -> Event {
+    pub fn change(&self, worker: u32, state: EndpointState) -> Event {
         self.changes(worker..worker + 1, state)
     }
 
     /// A change of several lines at once.
-    pub fn changes(&self, workers: std::ops::Range<u32>, state: Listed) -> Event {
+    pub fn changes(&self, workers: std::ops::Range<u32>, state: EndpointState) -> Event {
         let entries = workers.map(|worker| self.entry(worker, state, 0)).collect();
-        Event::Fleet { mode: ListMode::Changes, entries }
+        Event::EndpointList { mode: ListMode::Changes, endpoints: entries }
     }
 
     /// A request that is urgent or not; what else it is follows from a number that was drawn.
-    pub fn job(&self, id: u32, draw: u32, urgent: bool) -> JobIn {
+    pub fn job(&self, id: u32, draw: u32, urgent: bool) -> JobRequest {
         let team = (self.teams > 0).then(|| TenantId((draw % self.teams) as u16));
-        JobIn {
+        JobRequest {
             job: JobId(id),
             class: ClassId(if urgent { URGENT } else { (draw % 2) as u16 }),
             tenant: team,
@@ -150,14 +154,14 @@
     }
 }
 
-fn class(effect: Effect, promise: Micros, stretch: f64) -> Class {
+fn class(effect: Idempotency, promise: Micros, stretch: f64) -> Class {
     Class {
-        worth: 1.0,
-        late_value: 0.5,
-        promise,
-        stretch,
-        give_up: PATIENCE,
-        effect,
+        priority_weight: 1.0,
+        late_answer_fraction: 0.5,
+        latency_objective: promise,
+        objective_per_work: stretch,
+        client_timeout: PATIENCE,
+        idempotency: effect,
         streaming: false,
         kind: None,
     }
@@ -166,10 +170,10 @@
 fn limits() -> Limits {
     Limits {
         cancel: true,
-        may_probe: false,
-        second_copies: false,
-        send_cap: 4,
-        conn_idle: 15 * SECOND,
+        health_checks_allowed: false,
+        hedged_requests: false,
+        max_attempts: 4,
+        idle_timeout: 15 * SECOND,
         max_streams: 1,
         connect_timeout: SECOND / 5,
         retry_after: true,
--- a/crates/discovery-client/examples/poll_schedule.rs
+++ b/crates/discovery-client/examples/poll_schedule.rs
@@ -2,7 +2,9 @@
 //! simulated time, and prints a table: `cargo run --release -p roselock-discovery-client --example pace`.
 
 use oorandom::Rand64;
-use roselock_discovery_client::poll_schedule::{EndReason, Micros, Pace, Round, WatchEnd};
+use roselock_discovery_client::poll_schedule::{
+    Micros, PollParameters, PollSchedule, WatchEnd, WatchEndReason,
+};
 use std::collections::BTreeSet;
 
 const SECOND: Micros = 1_000_000;
@@ -19,14 +21,18 @@
 
 /// The service refused a call, or ended a watch, at that time.
 fn refused(as_of: Micros) -> WatchEnd {
-    WatchEnd { reason: EndReason::Refused, as_of }
+    WatchEnd { reason: WatchEndReason::Refused, in_sync_until: as_of }
 }
 
 /// A service that answers a call after `call`, and turns away who waited over `wait`; `late` serves it all the same.
 fn play(all: u32, call: Micros, wait: Micros, late: bool, guess: Micros, rounds: usize, seed: u128) -> Shown {
     let mut draw = Rand64::new(seed);
-    let mut paces: Vec<Pace> = (0..all).map(|_| Pace::new(guess)).collect();
-    let round = |me: usize| Round { all, me: me as u32, within: 10 * SECOND };
+    let mut paces: Vec<PollSchedule> = (0..all).map(|_| PollSchedule::new(guess)).collect();
+    let round = |me: usize| PollParameters {
+        instance_count: all,
+        instance_index: me as u32,
+        poll_interval: 10 * SECOND,
+    };
     let mut due: BTreeSet<(Micros, u8, usize)> = BTreeSet::new();
     let mut shown = Shown { calls: 0, failed: 0, queue: 0, lists: Vec::new() };
     for n in 0..rounds {
@@ -36,9 +42,9 @@
         let start = n as Micros * 1000 * SECOND;
         for (me, pace) in paces.iter_mut().enumerate() {
             let after = if n == 0 {
-                pace.first(round(me))
+                pace.first_delay(round(me))
             } else {
-                pace.ended(start, round(me), 0.0, refused(start))
+                pace.delay_after_end(start, round(me), 0.0, refused(start))
             };
             due.insert((start + after, 1, me));
         }
@@ -48,7 +54,7 @@
             let pace = &mut paces[me];
             match kind {
                 1 => {
-                    pace.called(now);
+                    pace.begin_poll(now);
                     shown.calls += 1;
                     let begins = free.max(now);
                     let fails = begins > now + wait;
@@ -63,11 +69,11 @@
                 }
                 0 => {
                     shown.failed += 1;
-                    let after = pace.ended(now, round(me), draw.rand_float(), refused(now));
+                    let after = pace.delay_after_end(now, round(me), draw.rand_float(), refused(now));
                     due.insert((now + after, 1, me));
                 }
                 _ => {
-                    pace.answered(now);
+                    pace.record_answer(now);
                     shown.lists.push(now - start);
                 }
             }
--- a/crates/gearman-load/src/step.rs
+++ b/crates/gearman-load/src/step.rs
@@ -19,36 +19,40 @@
 
 fn mean(workers: u64) -> f64 {
     let class = Class {
-        worth: 1.0,
-        late_value: 0.0,
-        promise: SECOND / 5,
-        stretch: 2.0,
-        give_up: 30 * SECOND,
-        effect: Effect::Safe,
+        priority_weight: 1.0,
+        late_answer_fraction: 0.0,
+        latency_objective: SECOND / 5,
+        objective_per_work: 2.0,
+        client_timeout: 30 * SECOND,
+        idempotency: Idempotency::Idempotent,
         streaming: false,
         kind: None,
     };
     let mut set = Settings::new(vec![class]);
-    (set.tells_start, set.tick, set.limits.send_cap) = (true, 200, 4);
+    (set.reports_start, set.tick, set.limits.max_attempts) = (true, 200, 4);
     let mut dispatcher = Dispatcher::new(set, 7).expect("settings");
     let entries = (0..workers)
-        .map(|w| FleetEntry {
+        .map(|w| Endpoint {
             worker: WorkerId(w),
-            state: Listed::Ready,
+            state: EndpointState::Ready,
             zone: ZoneId(0),
             cell: CellId(0),
             kind: KindId(0),
             units: 1.0,
-            up_since: None,
+            started_at: None,
         })
         .collect();
-    let mut events = vec![Event::Fleet { mode: ListMode::Complete, entries }];
-    let gauge = Gauge { free_slots: Some(1.0), ..Gauge::default() };
-    events.extend((0..workers).map(|w| Event::Health { worker: WorkerId(w), ok: true, gauge }));
+    let mut events = vec![Event::EndpointList { mode: ListMode::Complete, endpoints: entries }];
+    let gauge = LoadReport { free_slots: Some(1.0), ..LoadReport::default() };
+    events.extend((0..workers).map(|w| Event::HealthCheckEnded {
+        worker: WorkerId(w),
+        ok: true,
+        report: gauge,
+    }));
     let (mut now, mut next, mut out) = (0, 0, Vec::new());
     let mut arrive = |events: &mut Vec<Event>| {
         next += 1;
-        events.push(Event::Job(JobIn {
+        events.push(Event::JobArrived(JobRequest {
             job: JobId(next),
             class: ClassId(0),
             tenant: None,
@@ -74,14 +78,20 @@
         for action in out.drain(..) {
             match action {
                 Action::Send { job, .. } => running.push_back(job),
-                Action::Refuse { .. } | Action::Fail { .. } => arrive(&mut events),
+                Action::Reject { .. } | Action::Fail { .. } => arrive(&mut events),
                 _ => {}
             }
         }
         if let Some(job) = running.pop_front() {
-            let gauge = Gauge { free_slots: Some(0.0), ..Gauge::default() };
-            events.push(Event::Notice { job, round: 0, note: Note::Started });
-            events.push(Event::Verdict { job, round: 0, outcome: Outcome::Ok, last: true, gauge });
+            let gauge = LoadReport { free_slots: Some(0.0), ..LoadReport::default() };
+            events.push(Event::AttemptProgress { job, attempt: 0, update: AttemptUpdate::Started });
+            events.push(Event::AttemptEnded {
+                job,
+                attempt: 0,
+                outcome: Outcome::Ok,
+                concluded: true,
+                report: gauge,
+            });
             arrive(&mut events);
         }
     }
--- a/dispatcher/src/core/event_loop.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -13,9 +13,11 @@
 use super::pool::{Need, Pool, SETTLE, Trust};
 use super::*;
 use roselock::settings::fnv;
-use roselock::{Action, Dispatcher, Effect, Event, JobId, JobIn, Listed, Note, Settings};
+use roselock::{
+    Action, AttemptUpdate, Dispatcher, EndpointState, Event, Idempotency, JobId, JobRequest, Settings,
+};
 use roselock_dial_limiter::{DialLimiter, DialLimits};
-use roselock_discovery_client::startup_stage::Start;
+use roselock_discovery_client::startup_stage::StartupProgress;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::sync::mpsc::RecvTimeoutError;
@@ -43,7 +45,7 @@
     endpoint: Option<SocketAddr>,
     pool: Pool,
     link: Option<Arc<dyn Link>>,
-    entry: FleetEntry,
+    entry: Endpoint,
     /// When it may be dialled, attempts that wait for a connection to it, and whether one is opened ahead for them.
     dial_limiter: DialLimiter,
     dial_queue: VecDeque<UpstreamRequest>,
@@ -209,7 +211,7 @@
     /// The lists of all fleets have been fit to act on.
     list_was_usable: bool,
     /// How far the start has come.
-    start: Start,
+    start: StartupProgress,
 }
 
 impl Core {
@@ -247,15 +249,15 @@
             told: Default::default(),
             published: 0,
             list_was_usable: false,
-            start: Start::begin(now, false),
+            start: StartupProgress::new(now, false),
         }
     }
 
     /// Takes the list that the process came up with, as of before its start.
     pub fn came_up_with(&mut self, fleet: FleetId, hosts: Vec<ListedHost>) {
-        self.start = Start::begin(clock::now(), !hosts.is_empty());
+        self.start = StartupProgress::new(clock::now(), !hosts.is_empty());
         self.operation.figures.start(&self.start, None);
-        self.list(fleet, ListMode::Known, hosts);
+        self.list(fleet, ListMode::Cached, hosts);
     }
 
     /// Passes call-backs of streams that are not here to the other process of an upgrade.
@@ -373,9 +375,9 @@
                 stream.downstream = Box::new(Gone);
                 let fleet = stream.fleet;
                 self.hold_back(id);
-                self.operation.figures.left();
+                self.operation.figures.client_disconnected();
                 self.record(id, Finish::Left, 0);
-                self.fleets[fleet].events.push(Event::CancelledByClient(JobId(id)));
+                self.fleets[fleet].events.push(Event::ClientDisconnected(JobId(id)));
                 self.forget(id);
             }
             Input::Upstream(id, heard, link) => self.heard(id, heard, link),
@@ -392,8 +394,8 @@
                 self.list(fleet, mode, hosts);
             }
             Input::Room(fleet, worker, free) => {
-                let gauge = Gauge { free_slots: Some(free), ..Gauge::default() };
-                self.fleets[fleet].events.push(Event::Health { worker, ok: true, gauge });
+                let gauge = LoadReport { free_slots: Some(free), ..LoadReport::default() };
+                self.fleets[fleet].events.push(Event::HealthCheckEnded { worker, ok: true, report: gauge });
             }
             Input::Fleet(fleet, set, seed) => {
                 assert_eq!(fleet, self.fleets.len(), "fleets come in the order of their numbers");
@@ -401,7 +403,7 @@
             }
             Input::Feed => {}
             Input::WatchEnded(fleet, end) => {
-                self.start.broken();
+                self.start.record_watch_end();
                 self.operation.figures.start(&self.start, None);
                 self.fleets[fleet].events.push(Event::WatchEnded(end));
             }
@@ -409,10 +411,10 @@
                 // Whether there are limits is settled at the start.
                 self.fleets[fleet].dial_limits.iter_mut().for_each(|present| *present = limits);
             }
-            Input::ListMoved(fleet, at) => self.fleets[fleet].events.push(Event::ListMoved(at)),
+            Input::ListMoved(fleet, at) => self.fleets[fleet].events.push(Event::DiscoveryMoved(at)),
             Input::Settings(fleet, set) => {
                 let fleet = &mut self.fleets[fleet];
-                match fleet.dispatcher.retell(&set) {
+                match fleet.dispatcher.update_settings(&set) {
                     Ok(()) => {
                         fleet.trust.retell(told_idle(&set));
                         fleet.set = *set;
@@ -428,12 +430,12 @@
 
 /// The longest deadline of any class.
 pub fn longest(set: &Settings) -> Micros {
-    set.classes.iter().map(|c| c.give_up).max().unwrap_or(0)
+    set.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
 }
 
 /// How long a connection may idle by what is told, with a margin.
 fn told_idle(set: &Settings) -> Micros {
-    set.limits.conn_idle * 2 / 3
+    set.limits.idle_timeout * 2 / 3
 }
 
 #[cfg(test)]
--- a/dispatcher/src/core/event_loop/administration.rs
+++ b/dispatcher/src/core/event_loop/administration.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::core::suspensions::Suspensions;
-use roselock_admin::metrics::{End, Figures};
+use roselock_admin::metrics::{JobResult, Metrics};
 
 /// The figures of the list are set anew at most so often, in microseconds: a reader may see them 0.5 s old.
 const PUBLISH: Micros = 100_000;
@@ -12,7 +12,7 @@
 #[derive(Clone)]
 pub struct Operation {
     /// The figures of `METRICS`.
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     /// Workers that staff has suspended.
     pub suspensions: Arc<Suspensions>,
 }
@@ -20,16 +20,16 @@
 impl Operation {
     /// For classes of these names.
     pub fn new(classes: Vec<String>) -> Operation {
-        Operation { figures: Arc::new(Figures::new(classes)), suspensions: Arc::default() }
+        Operation { figures: Arc::new(Metrics::new(classes)), suspensions: Arc::default() }
     }
 }
 
 /// How an answer counts.
-pub(super) fn end(answer: &Answer) -> End {
+pub(super) fn end(answer: &Answer) -> JobResult {
     match answer {
-        Answer::Served(_) => End::Answered,
-        Answer::Refused(_) => End::Deferred,
-        Answer::Conflict | Answer::Failed | Answer::TimedOut => End::Errored,
+        Answer::Served(_) => JobResult::Answered,
+        Answer::Refused(_) => JobResult::Deferred,
+        Answer::Conflict | Answer::Failed | Answer::TimedOut => JobResult::Errored,
     }
 }
 
@@ -40,8 +40,10 @@
             return;
         };
         for fleet in &mut self.fleets {
-            let taken = out.difference(&self.told).map(|w| Event::Suspend { worker: *w, out: true });
-            let back = self.told.difference(&out).map(|w| Event::Suspend { worker: *w, out: false });
+            let taken =
+                out.difference(&self.told).map(|w| Event::SuspensionChanged { worker: *w, suspended: true });
+            let back =
+                self.told.difference(&out).map(|w| Event::SuspensionChanged { worker: *w, suspended: false });
             fleet.events.extend(taken.chain(back));
         }
         self.clear_dial_queues(|host| out.contains(&host.entry.worker));
@@ -55,9 +57,9 @@
         if self.fleets[f].dialer.is_none() {
             return;
         }
-        let first = self.start.told(clock::now());
+        let first = self.start.record_list(clock::now());
         if let Some(after) = first {
-            let (s, calls, failed) = (after as f64 / 1e6, self.start.calls, self.start.failed);
+            let (s, calls, failed) = (after as f64 / 1e6, self.start.calls, self.start.failed_calls);
             tracing::info!("list confirmed {s:.1} s after the start; calls {calls}, of them failed {failed}");
         }
         self.operation.figures.start(&self.start, first);
@@ -71,11 +73,11 @@
         self.published = now;
         let (mut size, mut avoided) = (0, 0);
         for fleet in &self.fleets {
-            for host in fleet.hosts.values().filter(|h| h.entry.state != Listed::Gone) {
+            for host in fleet.hosts.values().filter(|h| h.entry.state != EndpointState::Gone) {
                 size += 1;
-                avoided += fleet.dispatcher.avoids(host.entry.worker) as usize;
+                avoided += fleet.dispatcher.is_avoided(host.entry.worker) as usize;
             }
         }
-        self.operation.figures.cluster(size, avoided);
+        self.operation.figures.set_cluster(size, avoided);
     }
 }
--- a/dispatcher/src/core/event_loop/attempts.rs
+++ b/dispatcher/src/core/event_loop/attempts.rs
@@ -36,7 +36,7 @@
             LinkIs::Free => {
                 let kept = up.link.take().filter(|l| !l.resident());
                 let ready = self.fleets[fleet].hosts.get_mut(&host);
-                let ready = ready.filter(|h| h.entry.state == Listed::Ready);
+                let ready = ready.filter(|h| h.entry.state == EndpointState::Ready);
                 if let Some((link, ready)) = kept.zip(ready) {
                     // Of a second 202 nothing would end.
                     let rest = if matches!(heard, Heard::Taken) { 0 } else { SETTLE };
@@ -60,10 +60,10 @@
                     self.withdraw(id);
                 }
                 if matches!(heard, Heard::Started) {
-                    self.notice(id, Note::Started);
+                    self.notice(id, AttemptUpdate::Started);
                 }
             }
-            Heard::Progress(share) => self.notice(id, Note::Progress(share)),
+            Heard::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
             Heard::Said(saying, bytes) => {
                 let stream =
                     self.upstreams.get(&id).filter(|u| !u.ended).and_then(|u| self.streams.get(&u.stream));
@@ -76,13 +76,13 @@
                 self.end(id, outcome, gauge, body);
             }
             Heard::Probed(ok, gauge) => {
-                self.fleets[fleet].events.push(Event::Health { worker: host, ok, gauge });
+                self.fleets[fleet].events.push(Event::HealthCheckEnded { worker: host, ok, report: gauge });
             }
             Heard::Withdrawn => {
                 let gone = self.upstreams.get_mut(&id).and_then(|u| u.withdraws.take());
                 if let Some(gone) = gone {
                     self.unsettled(gone);
-                    self.end(gone, Outcome::Cancelled, Gauge::default(), Vec::new());
+                    self.end(gone, Outcome::Cancelled, LoadReport::default(), Vec::new());
                     self.drop_upstream(gone);
                 }
             }
@@ -102,7 +102,7 @@
         let lost = |u: &Upstream| u.link.is_none() && !u.taken && !u.ended && !u.waits;
         if self.upstreams.get(&id).is_some_and(lost) {
             self.unsettled(id);
-            self.end(id, Outcome::Reset, Gauge::default(), Vec::new());
+            self.end(id, Outcome::Reset, LoadReport::default(), Vec::new());
         }
         self.drop_upstream(id);
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    pub(super) fn called_back(&mut self, call: &str, from: &str, told: Told, gauge: Gauge) {
+    pub(super) fn called_back(&mut self, call: &str, from: &str, told: Told, gauge: LoadReport) {
         // Of a former life, of another stream, of an attempt that is over: not ours to heed.
         let stream = self.calls.get(call).and_then(|id| self.streams.get(id));
         let Some(id) = stream.and_then(|s| s.out) else {
@@ -125,8 +125,8 @@
             return;
         }
         match told {
-            Told::Started => self.notice(id, Note::Started),
-            Told::Progress(share) => self.notice(id, Note::Progress(share)),
+            Told::Started => self.notice(id, AttemptUpdate::Started),
+            Told::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
             Told::Ended(outcome, body) => {
                 // The host calls again until it has our answer: the same word may come once more.
                 self.unsettled(id);
@@ -136,14 +136,14 @@
         self.drop_upstream(id);
     }
 
-    pub(super) fn notice(&mut self, id: UpstreamId, note: Note) {
+    pub(super) fn notice(&mut self, id: UpstreamId, note: AttemptUpdate) {
         let Some(up) = self.upstreams.get(&id).filter(|u| !u.ended) else { return };
         let (job, round) = (JobId(up.stream), up.round);
-        self.fleets[up.fleet].events.push(Event::Notice { job, round, note });
+        self.fleets[up.fleet].events.push(Event::AttemptProgress { job, attempt: round, update: note });
         let stream = self.streams.get(&up.stream).filter(|s| !s.answered);
         stream.iter().for_each(|s| match note {
-            Note::Started => s.downstream.running(true),
-            Note::Progress(share) => s.downstream.progress(share),
+            AttemptUpdate::Started => s.downstream.running(true),
+            AttemptUpdate::Progress(share) => s.downstream.progress(share),
         });
     }
 
@@ -153,12 +153,12 @@
         let Some(up) = self.upstreams.get(&id).filter(|u| !u.ended) else { return };
         let fleet = &mut self.fleets[up.fleet];
         if fleet.hosts.get(&up.host).is_some_and(|host| host.link.is_none()) {
-            fleet.events.push(Event::Unsettled { job: JobId(up.stream), worker: up.host });
+            fleet.events.push(Event::LateReportPossible { job: JobId(up.stream), worker: up.host });
         }
     }
 
     /// The one place where an attempt ends.
-    pub(super) fn end(&mut self, id: UpstreamId, outcome: Outcome, gauge: Gauge, body: Vec<u8>) {
+    pub(super) fn end(&mut self, id: UpstreamId, outcome: Outcome, gauge: LoadReport, body: Vec<u8>) {
         let Some(up) = self.upstreams.get_mut(&id).filter(|u| !u.ended) else { return };
         up.ended = true;
         let (job, round, fleet, sent) = (up.stream, up.round, up.fleet, up.sent);
@@ -167,13 +167,14 @@
         stream.downstream.running(false);
         stream.timed_out = outcome == Outcome::Timeout;
         let set = &self.fleets[fleet].set;
-        if !outcome.never_ran(set.safety.full_unproven) {
+        if !outcome.never_ran(set.safety.rejection_may_have_run) {
             stream.ran += 1;
             let end = stream.window.map(|window| sent + window - WITHIN);
             stream.begin_by = end.map_or(stream.begin_by, |end| stream.begin_by.min(end));
         }
         let last = stream.answered || outcome == Outcome::Ok;
-        let verdict = Event::Verdict { job: JobId(job), round, outcome, last, gauge };
+        let verdict =
+            Event::AttemptEnded { job: JobId(job), attempt: round, outcome, concluded: last, report: gauge };
         self.fleets[fleet].events.push(verdict);
         if outcome == Outcome::Ok {
             self.answer(job, Answer::Served(body));
@@ -195,7 +196,7 @@
         }
         if up.link.as_ref().is_some_and(|l| l.hold_back()) {
             self.upstreams.entry(id).and_modify(|u| u.link = None);
-            self.end(id, Outcome::Moot, Gauge::default(), Vec::new());
+            self.end(id, Outcome::NotStarted, LoadReport::default(), Vec::new());
             self.drop_upstream(id);
         }
     }
@@ -229,7 +230,7 @@
             self.abandoned.insert(id, (fleet, host, payload));
         }
         self.unsettled(id);
-        self.end(id, outcome, Gauge::default(), Vec::new());
+        self.end(id, outcome, LoadReport::default(), Vec::new());
         self.drop_upstream(id);
         if let Some(payload) = payload.filter(|_| taken && !resident) {
             self.send_control(fleet, host, Ask::Withdraw(payload), Some(Need::Control), None);
--- a/dispatcher/src/core/event_loop/control_requests.rs
+++ b/dispatcher/src/core/event_loop/control_requests.rs
@@ -75,8 +75,8 @@
 
     /// A health probe had no answer.
     pub(super) fn probe_failed(&mut self, fleet: FleetId, worker: WorkerId) {
-        let gauge = Gauge::default();
-        self.fleets[fleet].events.push(Event::Health { worker, ok: false, gauge });
+        let gauge = LoadReport::default();
+        self.fleets[fleet].events.push(Event::HealthCheckEnded { worker, ok: false, report: gauge });
     }
 
     /// Sends a control request; without a need that tells which kept connection will do, on a new one.
@@ -109,7 +109,7 @@
             let Some(u) = self.unsent.pop_front() else { return };
             // One that ends no attempt goes to no host that is gone; an attempt that is out may still run there.
             let listed =
-                self.fleets[u.fleet].hosts.get(&u.host).is_some_and(|h| h.entry.state != Listed::Gone);
+                self.fleets[u.fleet].hosts.get(&u.host).is_some_and(|h| h.entry.state != EndpointState::Gone);
             if u.withdraws.map_or(listed, |id| self.upstreams.get(&id).is_some_and(|a| !a.ended)) {
                 self.send_control(u.fleet, u.host, u.ask, Some(Need::Control), u.withdraws);
             }
--- a/dispatcher/src/core/event_loop/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -53,7 +53,7 @@
         let (f, worker) = (up.fleet, up.host);
         up.waits = false;
         self.fleets[f].hosts.get_mut(&worker).iter_mut().for_each(|h| h.dial_queue.retain(|r| r.id != id));
-        self.end(id, Outcome::Moot, Gauge::default(), Vec::new());
+        self.end(id, Outcome::NotStarted, LoadReport::default(), Vec::new());
         self.drop_upstream(id);
     }
 
@@ -132,7 +132,7 @@
         let first = if refused { host.dial_queue.pop_front() } else { None };
         let Some(request) = first else { return };
         self.upstreams.entry(request.id).and_modify(|u| u.waits = false);
-        self.end(request.id, Outcome::ConnectFailed, Gauge::default(), Vec::new());
+        self.end(request.id, Outcome::ConnectFailed, LoadReport::default(), Vec::new());
         self.drop_upstream(request.id);
     }
 
@@ -155,20 +155,20 @@
         if up.ended {
             return;
         }
-        let waits = limited && !written && !up.quit && host.entry.state == Listed::Ready;
+        let waits = limited && !written && !up.quit && host.entry.state == EndpointState::Ready;
         let waiting =
             self.streams.get(&stream).filter(|s| waits && !s.answered && host.dial_queue.len() < MAX_QUEUED);
         let Some(stream) = waiting else {
             let outcome = match (written, limited) {
                 (true, true) => Outcome::Cancelled,
                 (true, false) => Outcome::Reset,
-                (false, true) => Outcome::Moot,
+                (false, true) => Outcome::NotStarted,
                 (false, false) => Outcome::ConnectFailed,
             };
             if outcome == Outcome::Reset {
                 self.unsettled(id);
             }
-            return self.end(id, outcome, Gauge::default(), Vec::new());
+            return self.end(id, outcome, LoadReport::default(), Vec::new());
         };
         let (ask, class) = (Ask::Run(stream.payload.clone()), Some(stream.class.0 as usize));
         up.waits = true;
@@ -181,8 +181,8 @@
 
 /// What a connection is wanted for.
 pub(super) fn need(set: &Settings, class: Option<usize>) -> Need {
-    match class.map(|c| set.classes[c].effect) {
-        Some(Effect::Safe) => Need::Repeatable,
+    match class.map(|c| set.classes[c].idempotency) {
+        Some(Idempotency::Idempotent) => Need::Repeatable,
         Some(_) => Need::Once,
         None => Need::Control,
     }
--- a/dispatcher/src/core/event_loop/hosts.rs
+++ b/dispatcher/src/core/event_loop/hosts.rs
@@ -7,13 +7,13 @@
     pub(super) fn list(&mut self, f: FleetId, mode: ListMode, hosts: Vec<ListedHost>) {
         self.operation.suspensions.note_listed(hosts.iter().map(|h| h.uid.as_str()));
         // What a host that came to us took no notice of before it left has not run.
-        for listed in hosts.iter().filter(|h| h.entry.state == Listed::Gone && h.endpoint.is_none()) {
+        for listed in hosts.iter().filter(|h| h.entry.state == EndpointState::Gone && h.endpoint.is_none()) {
             let here = |u: &Upstream| u.fleet == f && u.host == listed.entry.worker && !u.taken && !u.ended;
             let unseen: Vec<_> = self.upstreams.iter().filter(|u| here(u.1)).map(|u| *u.0).collect();
             for id in unseen {
                 self.heard(
                     id,
-                    Heard::Ended(Outcome::ConnectFailed, Gauge::default(), Vec::new()),
+                    Heard::Ended(Outcome::ConnectFailed, LoadReport::default(), Vec::new()),
                     LinkIs::Closed,
                 );
             }
@@ -22,7 +22,7 @@
         if mode.is_complete() {
             for (id, host) in &mut fleet.hosts {
                 if !hosts.iter().any(|h| h.entry.worker == *id) {
-                    host.entry.state = Listed::Gone;
+                    host.entry.state = EndpointState::Gone;
                     host.pool.clear();
                 }
             }
@@ -40,21 +40,21 @@
                 dial_queue: VecDeque::new(),
                 preconnecting: false,
             });
-            let restarted = listed.entry.up_since != host.entry.up_since;
-            if restarted || listed.endpoint != host.endpoint || listed.entry.state != Listed::Ready {
+            let restarted = listed.entry.started_at != host.entry.started_at;
+            if restarted || listed.endpoint != host.endpoint || listed.entry.state != EndpointState::Ready {
                 host.pool.clear();
                 host.dial_limiter = DialLimiter::new(clock::now());
             }
             (host.endpoint, host.entry) = (listed.endpoint, listed.entry);
             host.link = listed.link;
         }
-        let gone = |h: &Host| h.entry.state == Listed::Gone;
+        let gone = |h: &Host| h.entry.state == EndpointState::Gone;
         if fleet.hosts.values().filter(|h| gone(h)).count() > GONE_HOSTS {
             fleet.hosts.retain(|_, h| !gone(h));
         }
-        fleet.events.push(Event::Fleet { mode, entries });
-        self.clear_dial_queues(|host| host.entry.state != Listed::Ready);
-        self.hold_back_at(f, |host| host.entry.state != Listed::Ready);
+        fleet.events.push(Event::EndpointList { mode, endpoints: entries });
+        self.clear_dial_queues(|host| host.entry.state != EndpointState::Ready);
+        self.hold_back_at(f, |host| host.entry.state != EndpointState::Ready);
         self.update_readiness();
     }
 
@@ -62,16 +62,16 @@
     /// of date makes no process unready: all would be so at the same time.
     pub(super) fn update_readiness(&mut self) {
         let mut listing = self.fleets.iter().filter(|f| f.dialer.is_some());
-        self.list_was_usable |= listing.all(|f| f.dispatcher.list_holds());
+        self.list_was_usable |= listing.all(|f| f.dispatcher.list_is_valid());
         let mut hosts = self.fleets.iter().flat_map(|f| f.hosts.values());
-        let takes_work = hosts.any(|h| h.entry.state == Listed::Ready);
+        let takes_work = hosts.any(|h| h.entry.state == EndpointState::Ready);
         self.inbox.set_able(takes_work && self.list_was_usable);
     }
 
     /// Says when a list becomes too old to act on, and when it is in step again.
     pub(super) fn log_list_age(&mut self, f: FleetId) {
         let fleet = &mut self.fleets[f];
-        let holds = fleet.dispatcher.list_holds();
+        let holds = fleet.dispatcher.list_is_valid();
         if std::mem::replace(&mut fleet.list_holds, holds) == holds {
             return;
         }
--- a/dispatcher/src/core/event_loop/steps.rs
+++ b/dispatcher/src/core/event_loop/steps.rs
@@ -16,7 +16,7 @@
                     let Some(stream) = self.streams.get(&id).filter(|s| !s.answered) else { continue };
                     let fleet = stream.fleet;
                     self.answer(id, Answer::TimedOut);
-                    self.fleets[fleet].events.push(Event::CancelledByClient(JobId(id)));
+                    self.fleets[fleet].events.push(Event::ClientDisconnected(JobId(id)));
                 }
             }
         }
@@ -30,7 +30,7 @@
         }
         while let Some(Reverse((_, token))) = fleet.timers.peek().copied().filter(|t| t.0.0 <= now) {
             fleet.timers.pop();
-            fleet.events.push(Event::Alarm(token));
+            fleet.events.push(Event::TimerFired(token));
         }
         if fleet.events.is_empty() && fleet.stepped > 0 {
             return;
@@ -48,10 +48,10 @@
 
     pub(super) fn act(&mut self, f: FleetId, now: Micros, action: Action) {
         match action {
-            Action::Send { job, worker, max_wait } => self.send(f, now, job.0, worker, max_wait),
-            Action::Cancel { job, round } => {
+            Action::Send { job, worker, timeout } => self.send(f, now, job.0, worker, timeout),
+            Action::Cancel { job, attempt } => {
                 let out = self.streams.get(&job.0).and_then(|s| s.out);
-                if let Some(id) = out.filter(|id| self.upstreams[id].round == round) {
+                if let Some(id) = out.filter(|id| self.upstreams[id].round == attempt) {
                     if self.streams.get(&job.0).is_some_and(|s| !s.answered) {
                         self.cancel_attempt(id);
                     } else {
@@ -59,23 +59,25 @@
                     }
                 }
             }
-            Action::Refuse { job, backoff } => self.answer(job.0, Answer::Refused(backoff)),
+            Action::Reject { job, retry_after } => self.answer(job.0, Answer::Refused(retry_after)),
             Action::Fail { job } => self.answer(job.0, Answer::Failed),
-            Action::Timer { after, token } => self.fleets[f].timers.push(Reverse((now + after, token))),
-            Action::Watch => {
-                self.start.called();
+            Action::Timer { delay, token } => self.fleets[f].timers.push(Reverse((now + delay, token))),
+            Action::WatchEndpoints => {
+                self.start.record_call();
                 self.operation.figures.start(&self.start, None);
                 self.fleets[f].dialer.iter().for_each(|d| d.watch());
             }
-            Action::Probe(worker) => self.send_control(f, worker, Ask::Probe, Some(Need::Control), None),
-            Action::Close(worker) => {
+            Action::HealthCheck(worker) => {
+                self.send_control(f, worker, Ask::Probe, Some(Need::Control), None)
+            }
+            Action::CloseIdleConnections(worker) => {
                 if let Some(host) = self.fleets[f].hosts.get_mut(&worker) {
                     host.pool.clear();
                 }
             }
-            Action::Log { text, worker } => {
+            Action::Log { message, worker } => {
                 let uid = self.fleets[f].hosts.get(&worker).map_or("?", |h| &h.uid);
-                tracing::warn!("upstream host {uid}: {text}");
+                tracing::warn!("upstream host {uid}: {message}");
             }
         }
     }
@@ -96,15 +98,21 @@
             || stream.out.is_some()
             || deadline <= now
             || stream.begin_by <= now
-            || round.max(stream.ran) >= self.fleets[f].set.limits.send_cap;
+            || round.max(stream.ran) >= self.fleets[f].set.limits.max_attempts;
         let payload = stream.payload.clone();
         let up = Upstream { stream: job, round, sent: now, ..Upstream::new(f, worker) };
         let id = self.next_upstream;
         let need = dial_queue::need(&self.fleets[f].set, Some(stream.class.0 as usize));
         if barred || !self.launch(up, Ask::Run(payload), deadline, Some(need)) {
             let last = self.streams[&job].answered;
-            let (job, outcome, gauge) = (JobId(job), Outcome::Moot, Gauge::default());
-            self.fleets[f].events.push(Event::Verdict { job, round, outcome, last, gauge });
+            let (job, outcome, gauge) = (JobId(job), Outcome::NotStarted, LoadReport::default());
+            self.fleets[f].events.push(Event::AttemptEnded {
+                job,
+                attempt: round,
+                outcome,
+                concluded: last,
+                report: gauge,
+            });
             return;
         }
         let endpoint = self.fleets[f].hosts.get(&worker).and_then(|h| h.endpoint);
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -26,8 +26,8 @@
         if new.deadline <= now {
             return self.refuse(new, Answer::Failed);
         }
-        self.operation.figures.taken();
-        self.fleets[new.fleet].events.push(Event::Job(JobIn {
+        self.operation.figures.job_admitted();
+        self.fleets[new.fleet].events.push(Event::JobArrived(JobRequest {
             job: JobId(new.id),
             class: new.class,
             tenant: new.tenant,
@@ -50,8 +50,8 @@
             answered: false,
             rounds: 0,
             out: None,
-            window: match self.fleets[new.fleet].set.classes[new.class.0 as usize].effect {
-                Effect::Keyed { window, .. } => Some(window),
+            window: match self.fleets[new.fleet].set.classes[new.class.0 as usize].idempotency {
+                Idempotency::IdempotencyKey { window, .. } => Some(window),
                 _ => None,
             },
             begin_by: Micros::MAX,
@@ -64,7 +64,7 @@
 
     /// Answers a stream that is not taken on.
     pub(super) fn refuse(&self, new: NewStream, answer: Answer) {
-        self.operation.figures.ended(new.class.0 as usize, administration::end(&answer), false);
+        self.operation.figures.job_ended(new.class.0 as usize, administration::end(&answer), false);
         new.downstream.answer(answer, new.ran);
     }
 
@@ -95,7 +95,7 @@
             Answer::Failed | Answer::Conflict => (Finish::Failed, 0),
             Answer::TimedOut => (Finish::TimedOut, 0),
         };
-        self.operation.figures.ended(stream.class.0 as usize, administration::end(&answer), true);
+        self.operation.figures.job_ended(stream.class.0 as usize, administration::end(&answer), true);
         stream.downstream.answer(answer, ran);
         self.record(id, finish, sent);
         self.hold_back(id);
--- a/dispatcher/src/core/mod.rs
+++ b/dispatcher/src/core/mod.rs
@@ -7,7 +7,7 @@
 pub mod suspensions;
 
 use roselock::{
-    ClassId, FleetEntry, Gauge, KeyId, ListMode, Micros, Outcome, Settings, TenantId, WatchEnd, WorkerId,
+    ClassId, Endpoint, KeyId, ListMode, LoadReport, Micros, Outcome, Settings, TenantId, WatchEnd, WorkerId,
 };
 use roselock_dial_limiter::DialLimits;
 use std::net::SocketAddr;
@@ -258,9 +258,9 @@
     /// The host says something of it.
     Said(Saying, Vec<u8>),
     /// It ended.
-    Ended(Outcome, Gauge, Vec<u8>),
+    Ended(Outcome, LoadReport, Vec<u8>),
     /// A probe's answer.
-    Probed(bool, Gauge),
+    Probed(bool, LoadReport),
     /// The host has answered a withdrawal.
     Withdrawn,
     /// The connection ended under a probe or a withdrawal.
@@ -300,7 +300,7 @@
     /// Where to dial it; a host with a link of its own has none.
     pub endpoint: Option<SocketAddr>,
     /// What the decisions are told.
-    pub entry: FleetEntry,
+    pub entry: Endpoint,
     /// Its own connection, where it came to us.
     pub link: Option<Arc<dyn Link>>,
 }
@@ -315,7 +315,7 @@
     Upstream(UpstreamId, Heard, LinkIs),
     /// A call-back: the client's id, who tells it, and what; and its body, where it may be passed on to the other
     /// process of an upgrade if its stream is not here.
-    CallBack(String, String, Told, Gauge, Option<Vec<u8>>),
+    CallBack(String, String, Told, LoadReport, Option<Vec<u8>>),
     /// News of the hosts.
     Hosts(FleetId, ListMode, Vec<ListedHost>),
     /// A host that came to us has so many hands free, by what it does elsewhere.
--- a/dispatcher/src/core/suspensions.rs
+++ b/dispatcher/src/core/suspensions.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Most ids that are remembered as listed, and most suspended workers.
-pub const MAX_SUSPENDED: usize = roselock_admin::suspension_file::MOST;
+pub const MAX_SUSPENDED: usize = roselock_admin::suspension_file::MAX_WORKERS;
 
 /// The suspended workers, and how far the owner has applied the changes.
 #[derive(Default)]
--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -196,8 +196,8 @@
     let (parts, warnings) = parts(&files, file.limits, &site)?;
     // What was checked with its file.
     let told = parts.start.list_call().ok().flatten();
-    site.settings.list_call = told.unwrap_or(site.settings.list_call);
-    site.settings.careful = parts.start.careful;
+    site.settings.list_call_time = told.unwrap_or(site.settings.list_call_time);
+    site.settings.list_unconfirmed = parts.start.careful;
     let resync_after = parts.start.resync_after().map_err(|problem| problem.to_string())?;
     Ok(Config {
         listen: address("listen", file.listen, "NODE_LISTEN")?,
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -17,7 +17,7 @@
 use may::sync::mpsc::channel;
 use roselock::settings::{Site, fnv};
 use roselock::{Micros, Settings};
-use roselock_discovery_client::poll_schedule::Pace;
+use roselock_discovery_client::poll_schedule::PollSchedule;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::sync::Arc;
@@ -56,13 +56,13 @@
         watch: ask.clone(),
         figures: operation.figures.clone(),
     };
-    let registry = Registry::new(config.discovery, ask, !config.site.settings.must_watch);
+    let registry = Registry::new(config.discovery, ask, !config.site.settings.watch_required);
     let flows = config.ipfix.as_ref().map(|file| ipfix::start(file, &site)).transpose()?;
     let owner = suspension_store::Owner { site: config.listen.to_string(), name: config.name.clone() };
     let kept = suspension_store::begin(owner, &operation.suspensions);
     let mut core = Core::new(inbox.clone(), outlet, flows, operation.clone());
     // Only its list counts as told unheard: what comes to us by itself is told by its connection.
-    let settings = Settings { lease_list: true, ..site.settings.clone() };
+    let settings = Settings { list_lease_enabled: true, ..site.settings.clone() };
     let fleet = core.add_fleet(settings, config.seed, Some(Box::new(dialer)))?;
     config.dial_limits.into_iter().for_each(|limits| core.set_dial_limits(fleet, limits));
     let mut watch = Watch {
@@ -175,7 +175,7 @@
     /// settings in use: a file whose names are others was read before, and is not.
     fn reload(&self, old: &Config, new: &Config, running: &mut Site) {
         let name = &old.name;
-        let same = new.site.names_as(running);
+        let same = new.site.has_same_names_as(running);
         // Whether or not they are taken.
         self.inbox.note_longest(longest(&new.site.settings));
         if new.discovery != old.discovery {
@@ -185,7 +185,7 @@
             *running = new.site.clone();
             self.inbox.post(Input::Settings(self.fleet, Box::new(new.site.settings.clone())));
             new.dial_limits.into_iter().for_each(|l| self.inbox.post(Input::DialLimits(self.fleet, l)));
-            self.registry.set_pushed(!new.site.settings.must_watch);
+            self.registry.set_pushed(!new.site.settings.watch_required);
         } else {
             tracing::warn!(
                 "{name}: other classes, tenants, zones, kinds or load reports take effect at the next start; the settings in \
@@ -216,7 +216,11 @@
         let (this, moves) = (self.moves.fetch_add(1, Ordering::SeqCst) + 1, self.moves.clone());
         let (name, at, registry) = (name.to_owned(), new.discovery, self.registry.clone());
         let settings = &new.site.settings;
-        let wait = if new.spread_moves { Pace::new(settings.list_call).moved(settings.round()) } else { 0 };
+        let wait = if new.spread_moves {
+            PollSchedule::new(settings.list_call_time).delay_after_move(settings.poll_parameters())
+        } else {
+            0
+        };
         let move_now = move || {
             if moves.load(Ordering::SeqCst) == this && registry.move_to(at) {
                 tracing::info!("{name}: discovery is at {at} from now on");
--- a/dispatcher/src/lifecycle/suspension_store.rs
+++ b/dispatcher/src/lifecycle/suspension_store.rs
@@ -4,7 +4,7 @@
 
 use crate::core::Inbox;
 use crate::core::suspensions::{SuspendedWorkers, Suspensions};
-use roselock_admin::suspension_file::Saved;
+use roselock_admin::suspension_file::SuspensionFile;
 use std::fs::File;
 use std::io::Write;
 use std::os::unix::fs::MetadataExt;
@@ -43,7 +43,7 @@
             return None;
         }
     };
-    match Saved::decode(&bytes, &owner.site, &owner.name, now_ms()) {
+    match SuspensionFile::decode(&bytes, &owner.site, &owner.name, now_ms()) {
         Ok(saved) => Some(SuspendedWorkers { ids: saved.workers.into_iter().collect(), sequence: saved.seq }),
         Err(why) => {
             tracing::warn!("{}: {} is left: {why}", owner.name, path.display());
@@ -54,7 +54,7 @@
 
 /// Writes it whole under another name, then puts it in the place of the old one, and makes sure that both outlast a crash.
 fn write(path: &Path, owner: &Owner, wanted: &SuspendedWorkers) -> std::io::Result<()> {
-    let saved = Saved {
+    let saved = SuspensionFile {
         site: owner.site.clone(),
         name: owner.name.clone(),
         seq: wanted.sequence,
--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -9,8 +9,8 @@
 use crate::core::{Inbox, clock};
 use may::net::{TcpListener, TcpStream};
 use roselock::{Micros, SECOND};
-use roselock_admin::command::{self, Call, Lines, Next};
-use roselock_admin::metrics::Figures;
+use roselock_admin::command::{self, Command, LineReader, ReadLine};
+use roselock_admin::metrics::Metrics;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 /// What the admin address sees and steers.
 pub struct Admin {
     /// The figures of `METRICS`.
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     /// Workers that staff has suspended.
     pub suspensions: Arc<Suspensions>,
     /// Whether the process can serve, and the way to wake the owner.
@@ -47,22 +47,22 @@
 
 fn serve(admin: &Admin, stream: TcpStream) {
     let socket = Socket::new(stream);
-    let mut lines = Lines::default();
+    let mut lines = LineReader::default();
     let mut buffer = [0; 512];
     let (mut spare, mut due) = (admin.table.spare(Rank::Unidentified, &socket), by(CALL_WITHIN));
     loop {
         loop {
-            let answer = match lines.line() {
-                Next::Line(line) => answer(admin, line),
-                Next::TooLong => command::Wrong::TooLong.answer().to_owned() + "\n",
-                Next::More => break,
+            let answer = match lines.next_line() {
+                ReadLine::Line(line) => answer(admin, line),
+                ReadLine::TooLong => command::CommandError::TooLong.response().to_owned() + "\n",
+                ReadLine::Incomplete => break,
             };
             if socket.write(&[answer.as_bytes()], by(TRANSFER)).is_err() || !spare.keep() {
                 return;
             }
             (spare, due) = (admin.table.spare(Rank::Idle, &socket), by(IDLE));
         }
-        let partial = lines.partial();
+        let partial = lines.has_partial_line();
         match socket.read(&mut buffer, due) {
             Ok(0) | Err(_) => return,
             Ok(read) => lines.push(&buffer[..read]),
@@ -77,12 +77,12 @@
 fn answer(admin: &Admin, line: &[u8]) -> String {
     let call = match command::parse(line) {
         Ok(call) => call,
-        Err(wrong) => return wrong.answer().to_owned() + "\n",
+        Err(wrong) => return wrong.response().to_owned() + "\n",
     };
     match call {
-        Call::Status if admin.inbox.stopping().is_some() => "-ERR not ready: stopping\n".to_owned(),
-        Call::Status => {
-            let stage = admin.figures.stage().words();
+        Command::Status if admin.inbox.stopping().is_some() => "-ERR not ready: stopping\n".to_owned(),
+        Command::Status => {
+            let stage = admin.figures.stage().description();
             let able = admin.inbox.able();
             if able {
                 format!("+OK ready: {stage}\n")
@@ -90,9 +90,9 @@
                 format!("-ERR not ready: no worker takes work yet: {stage}\n")
             }
         }
-        Call::Metrics => format!("{}\n.\n", admin.figures.render()),
-        Call::Suspend(id) => change(admin, id, true),
-        Call::Restore(id) => change(admin, id, false),
+        Command::Metrics => format!("{}\n.\n", admin.figures.render()),
+        Command::Suspend(id) => change(admin, id, true),
+        Command::Restore(id) => change(admin, id, false),
     }
 }
 
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -34,11 +34,11 @@
         "running" => Told::Progress(c.share),
         "done" => Told::Ended(Outcome::Ok, c.result.unwrap_or_default().into_bytes()),
         "failed" => Told::Ended(Outcome::Error, Vec::new()),
-        "returned" => Told::Ended(Outcome::Full, Vec::new()),
+        "returned" => Told::Ended(Outcome::Rejected, Vec::new()),
         "lost" => Told::Ended(Outcome::Reset, Vec::new()),
         _ => return false,
     };
-    let gauge = c.load.map(|l| site.gauge(&l)).unwrap_or_default();
+    let gauge = c.load.map(|l| site.load_report(&l)).unwrap_or_default();
     let body = relayed.then(|| body.to_vec());
     inbox.post(Input::CallBack(c.id.into_owned(), c.from.into_owned(), told, gauge, body));
     true
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -8,8 +8,8 @@
 use may::sync::mpsc::{Receiver, Sender};
 use roselock::settings::Site;
 use roselock::{ListMode, Micros, SECOND};
-use roselock_admin::metrics::Figures;
-use roselock_discovery_client::poll_schedule::{EndReason, GOLDEN, SILENCE, WatchEnd};
+use roselock_admin::metrics::Metrics;
+use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, WATCH_TIMEOUT, WatchEnd, WatchEndReason};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -94,7 +94,7 @@
     /// Whose hosts these are.
     pub fleet: FleetId,
     /// Where spoilt lists are counted.
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     /// How long after a move the whole list is asked for, and when it will be, unless it is told by then.
     pub resync_after: Micros,
     /// See [`Watch::resync_after`].
@@ -155,7 +155,7 @@
         self.inbox.post(Input::ListMoved(self.fleet, moved_at));
         // Versions there may be others.
         self.history = ListHistory::default();
-        let place = (f64::from(self.site.settings.me) * GOLDEN).fract();
+        let place = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
         let spread = (self.resync_after as f64 * place) as Micros;
         self.resync = Some(clock::now() + self.resync_after + spread);
     }
@@ -172,14 +172,14 @@
         }
         tracing::warn!("discovery at {at}: the watch ended: {ended:?}");
         let reason = match ended {
-            _ if self.progress.short => EndReason::Local,
-            _ if !self.progress.reached => EndReason::Unreachable,
-            Err(Bad::Late) => EndReason::Silent,
-            _ => EndReason::Refused,
+            _ if self.progress.short => WatchEndReason::LocalFailure,
+            _ if !self.progress.reached => WatchEndReason::Unreachable,
+            Err(Bad::Late) => WatchEndReason::Silent,
+            _ => WatchEndReason::Refused,
         };
         // What comes before the first word of a watch says that the service does not answer: when it says so itself.
-        let seen = if reason == EndReason::Refused { clock::now() } else { began };
-        WatchEnd { reason, as_of: self.progress.word.unwrap_or(seen) }
+        let seen = if reason == WatchEndReason::Refused { clock::now() } else { began };
+        WatchEnd { reason, in_sync_until: self.progress.word.unwrap_or(seen) }
     }
 
     /// Opens a connection; it is ended by a move. Where this machine is short of something for it, it tries again.
@@ -236,7 +236,7 @@
         }
         let mut lists = Lists::default();
         let mut again = None;
-        let mut silent = by(SILENCE);
+        let mut silent = by(WATCH_TIMEOUT);
         loop {
             let ask_again = || by(NOBODY << self.in_vain.min(DOUBLED));
             again = self.nobody.then(|| again.unwrap_or_else(ask_again));
@@ -261,7 +261,7 @@
             }
             // A list that trickles in has no longer than silence has: it tells as little.
             if whole || !begun || lists.held() == 0 {
-                silent = by(SILENCE);
+                silent = by(WATCH_TIMEOUT);
             }
             if lists.held() == 0 {
                 self.heard();
@@ -281,7 +281,7 @@
 
     /// A list that makes no sense is dropped; the last good one stays.
     fn spoilt(&self, why: &str) {
-        let count = self.figures.spoilt_list();
+        let count = self.figures.count_malformed_list();
         tracing::warn!("discovery: not a list, dropped ({count} so far): {why}");
     }
 
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -9,7 +9,7 @@
 use crate::core::{FleetId, Inbox};
 use may::net::TcpListener;
 use roselock::settings::Site;
-use roselock_admin::metrics::Figures;
+use roselock_admin::metrics::Metrics;
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -30,7 +30,7 @@
     /// Whether the listener is the platform's, on which the next process accepts once this one stops.
     pub inherited: bool,
     /// The figures of the admin address: who is turned away here is counted here.
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
 }
 
 /// The answer to a call-back.
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -11,7 +11,7 @@
 use crate::wire::socket::Socket;
 use may::net::TcpStream;
 use roselock::{Micros, SECOND};
-use roselock_admin::metrics::End;
+use roselock_admin::metrics::JobResult;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -244,7 +244,7 @@
             }
             ("GET", "/health/ready") => {
                 let ready = front.inbox.able() && front.inbox.stopping().is_none();
-                Routed::Reply(if ready { 200 } else { 503 }, "", front.figures.stage().words())
+                Routed::Reply(if ready { 200 } else { 503 }, "", front.figures.stage().description())
             }
             ("POST", _) => self.hold(message, bulk),
             (_, callbacks::PATH) => Routed::Reply(405, "Allow: POST\r\n", ""),
@@ -259,7 +259,7 @@
         let Some(new) = stream_of(front, message, self.peer) else { return Routed::Reply(400, "", "") };
         let class = new.class.0 as usize;
         let Some(held) = Held::new(front, bulk) else {
-            front.figures.ended(class, End::Deferred, false);
+            front.figures.job_ended(class, JobResult::Deferred, false);
             return Routed::Reply(503, after(503), "");
         };
         // Whose request is passed on has to stay for the answer.
@@ -273,7 +273,7 @@
         if !front.inbox.enter(Box::new(new)) {
             // The process ends, and this stream came a moment too late.
             writer.exchange().held = None;
-            front.figures.ended(class, End::Deferred, false);
+            front.figures.job_ended(class, JobResult::Deferred, false);
             return Routed::Reply(503, after(503), "");
         }
         Routed::Held(id)
--- a/dispatcher/src/wire/gearman/file.rs
+++ b/dispatcher/src/wire/gearman/file.rs
@@ -3,7 +3,7 @@
 use crate::core::FleetId;
 use crate::lifecycle::settings_error::Problem;
 use roselock::settings::Site;
-use roselock::{ClassId, Effect, Micros, SECOND, Settings, TenantId};
+use roselock::{ClassId, Idempotency, Micros, SECOND, Settings, TenantId};
 use roselock_backlog::{Bounds, FunctionSettings, Window};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -318,14 +318,14 @@
         }
     };
     let set = &site.settings;
-    let aims = classes.map(|c| set.classes[c.0 as usize].promise);
+    let aims = classes.map(|c| set.classes[c.0 as usize].latency_objective);
     let queue = FunctionSettings {
         queued: entry.queue,
         max_queue: entry.max_queue.map_or([MAX_QUEUE; 3], MaxQueue::each),
         max_wait: micros(span("wait_s", &entry.wait_s, 600.0, 0.001, LONGEST_WAIT)?),
         max_wait_background: micros(background_s),
         run_timeout: [micros(deadline), micros(run)],
-        max_attempts: set.limits.send_cap.min(4),
+        max_attempts: set.limits.max_attempts.min(4),
         window: match (&path, entry.queue) {
             (_, false) => Window::Unlimited,
             (Some(_), true) => Window::Fixed(HTTP_WINDOW),
@@ -335,7 +335,7 @@
     Ok(Function {
         name: name.to_owned(),
         classes,
-        safe: classes.map(|c| set.classes[c.0 as usize].effect == Effect::Safe),
+        safe: classes.map(|c| set.classes[c.0 as usize].idempotency == Idempotency::Idempotent),
         tenant: tenant.map(|t| TenantId(t as u16)),
         path,
         fleet: 0,
@@ -387,16 +387,16 @@
 /// What the decisions of a function's own fleet are told: its workers come to us alone, and take one job each.
 pub fn settings(site: &Site, file: &File) -> Settings {
     let mut set = site.settings.clone();
-    (set.fleet_size, set.me, set.must_watch, set.live_units) = (1, 0, false, false);
-    (set.tells_start, set.limits.may_probe, set.limits.max_streams) = (true, false, 1);
-    (set.costs.cross_zone, set.costs.handshake, set.costs.origin) = (0.0, 0.0, 0.0);
+    (set.fleet_size, set.instance_index, set.watch_required, set.units_fall_with_load) = (1, 0, false, false);
+    (set.reports_start, set.limits.health_checks_allowed, set.limits.max_streams) = (true, false, 1);
+    (set.costs.cross_zone, set.costs.handshake, set.costs.origin_fetch) = (0.0, 0.0, 0.0);
     set.classes.iter_mut().for_each(|c| c.kind = None);
     // A step follows each arrival and each worker that becomes free.
     set.tick = file.tick_ms.as_ref().map_or(200, |t| (*t.get_ref() * 1000.0) as Micros);
     if let Some(cold) = file.cold_s.as_ref().map(|c| *c.get_ref()) {
-        set.safety.cold = micros(cold);
-        if set.safety.cold == 0 {
-            set.safety.cold_share = 1.0;
+        set.safety.slow_start_window = micros(cold);
+        if set.safety.slow_start_window == 0 {
+            set.safety.initial_capacity_fraction = 1.0;
         }
     }
     set
--- a/dispatcher/src/wire/gearman/worker.rs
+++ b/dispatcher/src/wire/gearman/worker.rs
@@ -5,7 +5,7 @@
     Ask, Heard, Input, Link, LinkIs, ListedHost, Payload, Saying, UpstreamId, UpstreamRequest, clock,
 };
 use roselock::settings::fnv;
-use roselock::{CellId, FleetEntry, Gauge, KindId, ListMode, Listed, Micros, Outcome, WorkerId};
+use roselock::{CellId, Endpoint, EndpointState, KindId, ListMode, LoadReport, Micros, Outcome, WorkerId};
 use roselock_gearman::packet::number;
 use roselock_gearman::server::{Chosen, Due, Word};
 use roselock_gearman::{Kind, Packet};
@@ -77,13 +77,13 @@
 /// Tells of an attempt that no worker has seen: its connection was gone, or its hands were full.
 pub fn never_ran(front: &Gearman, id: UpstreamId, gone: bool) {
     let (outcome, link) =
-        if gone { (Outcome::ConnectFailed, LinkIs::Closed) } else { (Outcome::Full, LinkIs::Free) };
+        if gone { (Outcome::ConnectFailed, LinkIs::Closed) } else { (Outcome::Rejected, LinkIs::Free) };
     front.inbox.post(Input::Upstream(id, Heard::Ended(outcome, report(), Vec::new()), link));
 }
 
 /// What an attempt's end says of its worker: while it ran, nothing else fitted.
-fn report() -> Gauge {
-    Gauge { free_slots: Some(0.0), ..Gauge::default() }
+fn report() -> LoadReport {
+    LoadReport { free_slots: Some(0.0), ..LoadReport::default() }
 }
 
 /// A job's name to a worker: new for each attempt, so that a late word of another is known for what it is.
@@ -159,18 +159,18 @@
         done
     }
 
-    fn list(self: &Arc<Self>, front: &Gearman, function: usize, state: Listed) {
-        let entry = FleetEntry {
+    fn list(self: &Arc<Self>, front: &Gearman, function: usize, state: EndpointState) {
+        let entry = Endpoint {
             worker: self.worker_id(),
             state,
             zone: front.site.load().settings.zone,
             cell: CellId(0),
             kind: KindId(0),
             units: 1.0,
-            up_since: lock(&self.worker).since(),
+            started_at: lock(&self.worker).since(),
         };
         let link = WorkerLink { peer: self.clone(), function };
-        let link = (state != Listed::Gone).then(|| Arc::new(link) as Arc<dyn Link>);
+        let link = (state != EndpointState::Gone).then(|| Arc::new(link) as Arc<dyn Link>);
         let host = ListedHost { uid: self.uid(), endpoint: None, entry, link };
         let fleet = front.functions.load().all[function].fleet;
         front.inbox.post(Input::Hosts(fleet, ListMode::Changes, vec![host]));
@@ -189,7 +189,7 @@
         };
         self.is_worker.store(true, Ordering::Relaxed);
         self.change(front, |w| w.can_do(f, limit, clock::now()));
-        self.list(front, f, Listed::Ready);
+        self.list(front, f, EndpointState::Ready);
         let busy = lock(&self.worker).is_engaged();
         let fleet = front.functions.load().all[f].fleet;
         front.inbox.post(Input::Room(fleet, self.worker_id(), if busy { 0.0 } else { 1.0 }));
@@ -200,7 +200,7 @@
     pub fn cant_do(self: &Arc<Self>, front: &Gearman, name: &[u8]) -> Option<Vec<u8>> {
         let f = front.functions.load().find(name)?;
         let back = self.change(front, |w| w.cant_do(f))?;
-        self.list(front, f, Listed::Draining);
+        self.list(front, f, EndpointState::Draining);
         // What was chosen for it and not yet grabbed goes back: it has not been seen.
         back.into_iter().for_each(|held| never_ran(front, held.id, false));
         None
@@ -210,7 +210,7 @@
     pub fn reset(self: &Arc<Self>, front: &Gearman) -> Option<Vec<u8>> {
         for f in self.able() {
             if let Some(back) = self.change(front, |w| w.cant_do(f)) {
-                self.list(front, f, Listed::Draining);
+                self.list(front, f, EndpointState::Draining);
                 back.into_iter().for_each(|held| never_ran(front, held.id, false));
             }
         }
@@ -229,7 +229,7 @@
             let state = lock(&self.worker);
             if state.is_deaf() { state.able().collect() } else { Vec::new() }
         };
-        able.into_iter().for_each(|f: usize| self.list(front, f, Listed::Ready));
+        able.into_iter().for_each(|f: usize| self.list(front, f, EndpointState::Ready));
     }
 
     /// An attempt for it; what it returns wakes it.
@@ -378,7 +378,7 @@
             Some(Due::NoJob) => self.send(reply(Kind::NoJob, &[])),
             Some(Due::Unheard(held)) => {
                 tracing::warn!(worker = self.uid(), "gearman: a worker was woken and did not come");
-                self.able().into_iter().for_each(|f| self.list(front, f, Listed::Draining));
+                self.able().into_iter().for_each(|f| self.list(front, f, EndpointState::Draining));
                 never_ran(front, held.id, false);
             }
             Some(Due::Late(held)) => {
@@ -393,10 +393,10 @@
         let (able, chosen, runs) = self.change(front, |w| w.leave());
         chosen.into_iter().for_each(|held| never_ran(front, held.id, true));
         if let Some(held) = runs {
-            let lost = Heard::Ended(Outcome::Reset, Gauge::default(), Vec::new());
+            let lost = Heard::Ended(Outcome::Reset, LoadReport::default(), Vec::new());
             front.inbox.post(Input::Upstream(held.id, lost, LinkIs::Closed));
         }
-        able.into_iter().for_each(|f| self.list(front, f, Listed::Gone));
+        able.into_iter().for_each(|f| self.list(front, f, EndpointState::Gone));
     }
 }
 
--- a/dispatcher/src/wire/list.rs
+++ b/dispatcher/src/wire/list.rs
@@ -2,7 +2,7 @@
 
 use crate::core::ListedHost;
 use roselock::settings::{Site, fnv};
-use roselock::{CellId, FleetEntry, KindId, Listed, Micros, WorkerId, ZoneId};
+use roselock::{CellId, Endpoint, EndpointState, KindId, Micros, WorkerId, ZoneId};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
@@ -43,23 +43,23 @@
 pub fn hosts(list: &List, site: &mut Site) -> Vec<ListedHost> {
     let host = |t: &Target| {
         let state = match t.state.as_str() {
-            "ready" => Listed::Ready,
-            "draining" => Listed::Draining,
-            "gone" => Listed::Gone,
+            "ready" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            "gone" => EndpointState::Gone,
             _ => return None,
         };
         let endpoint = t.endpoint.parse().ok();
-        if endpoint.is_none() && state == Listed::Ready {
+        if endpoint.is_none() && state == EndpointState::Ready {
             return None;
         }
-        let entry = FleetEntry {
+        let entry = Endpoint {
             worker: WorkerId(fnv(t.uid.as_bytes())),
             state,
             zone: ZoneId(site.zones.id(&t.az) as u16),
             cell: CellId(t.pod_group),
             kind: KindId(site.kinds.id(&t.model) as u16),
             units: t.capacity_hint,
-            up_since: (t.boot_ms > 0.0).then_some((t.boot_ms * 1e3) as Micros),
+            started_at: (t.boot_ms > 0.0).then_some((t.boot_ms * 1e3) as Micros),
         };
         Some(ListedHost { uid: t.uid.clone(), endpoint, entry, link: None })
     };
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -7,8 +7,8 @@
 };
 use may::sync::mpsc::{Receiver, Sender, channel};
 use roselock::settings::Site;
-use roselock::{Gauge, Micros, Outcome};
-use roselock_admin::metrics::Figures;
+use roselock::{LoadReport, Micros, Outcome};
+use roselock_admin::metrics::Metrics;
 use roselock_dial_limiter::IMMEDIATE_CLOSE;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     /// Wakes the watch on the list.
     pub watch: Sender<()>,
     /// Counts what is written whole.
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
 }
 
 impl Dialer for HttpDialer {
@@ -106,7 +106,7 @@
     inbox: Inbox,
     site: Arc<Site>,
     reader: Option<(Socket, Reader)>,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
 }
 
 impl Connection {
@@ -125,13 +125,13 @@
     /// One upstream request, from its first byte to the host's answer.
     fn exchange(&mut self, request: &UpstreamRequest) -> (Heard, LinkIs) {
         let unsent = |outcome| match request.ask {
-            Ask::Run(_) => Heard::Ended(outcome, Gauge::default(), Vec::new()),
-            Ask::Probe => Heard::Probed(false, Gauge::default()),
+            Ask::Run(_) => Heard::Ended(outcome, LoadReport::default(), Vec::new()),
+            Ask::Probe => Heard::Probed(false, LoadReport::default()),
             Ask::Withdraw(_) => Heard::Nothing,
             Ask::Preconnect => Heard::Broken,
         };
         let broken = match request.ask {
-            Ask::Run(_) => Heard::Ended(Outcome::Reset, Gauge::default(), Vec::new()),
+            Ask::Run(_) => Heard::Ended(Outcome::Reset, LoadReport::default(), Vec::new()),
             _ => Heard::Broken,
         };
         // An idle connection that the host has closed is replaced while nothing is written; one that was ended
@@ -150,7 +150,7 @@
         {
             let outcome = match why {
                 NotOpened::Failed if !late() => Outcome::ConnectFailed,
-                NotOpened::Failed | NotOpened::Short => Outcome::Moot,
+                NotOpened::Failed | NotOpened::Short => Outcome::NotStarted,
             };
             return (unsent(outcome), LinkIs::Closed);
         }
@@ -166,7 +166,7 @@
             return (Heard::ConnectionRejected(false), LinkIs::Closed);
         }
         if late() {
-            return (unsent(Outcome::Moot), LinkIs::Closed);
+            return (unsent(Outcome::NotStarted), LinkIs::Closed);
         }
         if write(socket, &self.state, self.endpoint, request).is_err() {
             let heard = if closed_at_once(clock::now()) {
@@ -176,7 +176,7 @@
             };
             return (heard, LinkIs::Closed);
         }
-        request.class.iter().for_each(|class| self.figures.sent(*class));
+        request.class.iter().for_each(|class| self.figures.attempt_sent(*class));
         match reader.response(request.deadline) {
             Ok(answer) => {
                 let close = answer.close || !reader.is_empty();
@@ -311,15 +311,15 @@
         Ask::Preconnect => Heard::Nothing,
         Ask::Probe => {
             let body = std::str::from_utf8(answer.body()).ok().and_then(http::load_report);
-            let gauge = report.or(body).map(|g| site.gauge(&g)).unwrap_or_default();
+            let gauge = report.or(body).map(|g| site.load_report(&g)).unwrap_or_default();
             Heard::Probed(answer.status == 200, gauge)
         }
         Ask::Run(_) => {
-            let gauge = report.map(|g| site.gauge(&g)).unwrap_or_default();
+            let gauge = report.map(|g| site.load_report(&g)).unwrap_or_default();
             let rejected = answer.value("x-rejected") == Some("1");
             match answer.status {
                 202 => Heard::Taken,
-                503 | 504 if rejected => Heard::Ended(Outcome::Full, gauge, Vec::new()),
+                503 | 504 if rejected => Heard::Ended(Outcome::Rejected, gauge, Vec::new()),
                 _ => Heard::Ended(Outcome::Error, gauge, Vec::new()),
             }
         }
--- a/src/api.rs
+++ b/src/api.rs
@@ -7,8 +7,8 @@
 //! [`Event::Alarm`] for each [`Action::Timer`]. For each [`Event::Job`] the dispatcher owes one final answer, unless
 //! a verdict said `last`, its stream was accepted, or the client left.
 
-use roselock_discovery_client::poll_schedule::Round;
-pub use roselock_discovery_client::poll_schedule::{EndReason, WatchEnd};
+use roselock_discovery_client::poll_schedule::PollParameters;
+pub use roselock_discovery_client::poll_schedule::{WatchEnd, WatchEndReason};
 use std::fmt;
 
 /// A point in time or a span, in microseconds.
@@ -18,7 +18,7 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// What one call is taken to cost discovery where nothing is told: a share of a second that slow ones need, too.
-pub const LIST_CALL: Micros = SECOND / 12;
+pub const DEFAULT_LIST_CALL_TIME: Micros = SECOND / 12;
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -60,7 +60,7 @@
 
 impl KeyScope {
     /// Whether two workers know of each other's requests.
-    pub fn joins(self, a: &FleetEntry, b: &FleetEntry) -> bool {
+    pub fn shares_keys(self, a: &Endpoint, b: &Endpoint) -> bool {
         match self {
             KeyScope::All => true,
             KeyScope::Zone => a.zone == b.zone,
@@ -71,11 +71,11 @@
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: repeat at will.
-    Safe,
+    Idempotent,
     /// Dropped by the workers of `scope` for `window` after the first attempt that may have run was sent.
-    Keyed {
+    IdempotencyKey {
         /// Who drops repeats.
         scope: KeyScope,
         /// For how long.
@@ -83,24 +83,24 @@
     },
     /// It would take effect twice.
     #[default]
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Worth of a request, or of a unit of its work with [`Settings::counted_by_work`].
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim and before the deadline earns.
-    pub late_value: f64,
+    pub late_answer_fraction: f64,
     /// The aim: an answer within this span (plus the stretch) earns the full worth.
-    pub promise: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the job's own work.
-    pub stretch: f64,
+    pub objective_per_work: f64,
     /// The client's whole patience over all of its tries.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The answer is a stream, announced by [`Event::Accepted`].
     pub streaming: bool,
     /// The only machine kind that can run it.
@@ -120,13 +120,13 @@
     /// [`Action::Cancel`] is permitted.
     pub cancel: bool,
     /// [`Action::Probe`] is permitted.
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Most attempts of one request.
-    pub send_cap: u32,
+    pub max_attempts: u32,
     /// Idle connections close after this span.
-    pub conn_idle: Micros,
+    pub idle_timeout: Micros,
     /// Attempts that share one connection.
     pub max_streams: u32,
     /// A connection not made within this span fails.
@@ -141,10 +141,10 @@
     fn default() -> Limits {
         Limits {
             cancel: false,
-            may_probe: false,
-            second_copies: false,
-            send_cap: 1,
-            conn_idle: 0,
+            health_checks_allowed: false,
+            hedged_requests: false,
+            max_attempts: 1,
+            idle_timeout: 0,
             max_streams: 1,
             connect_timeout: SECOND / 4,
             retry_after: false,
@@ -161,44 +161,44 @@
     /// A new connection.
     pub handshake: f64,
     /// A fetch of the job's data from its origin.
-    pub origin: f64,
+    pub origin_fetch: f64,
     /// Work that serves no answer, as a share of the work.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// Ending unserved after the aim has passed, as a share of the job's worth.
-    pub late_fail: f64,
+    pub late_failure: f64,
     /// A probe.
-    pub probe: f64,
+    pub health_check: f64,
 }
 
 /// Figures of the rules on answers, discovery and cold workers. By default workers start warm.
 #[derive(Clone, Debug)]
 pub struct Safety {
     /// How long after the client's deadline a final answer still counts.
-    pub grace_to_answer: Micros,
+    pub answer_grace: Micros,
     /// Without a subscription, the longest time between two questions to discovery.
-    pub ask_within: Micros,
+    pub poll_interval: Micros,
     /// The least share of its capacity with which a worker starts.
-    pub cold_share: f64,
+    pub initial_capacity_fraction: f64,
     /// A worker is warm no later than this after its start.
-    pub cold: Micros,
+    pub slow_start_window: Micros,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this span, a cold worker falls over.
-    pub fall: Micros,
+    pub overload_window: Micros,
     /// Bound on attempts beyond each request's first, where the site has one.
-    pub allowance: Option<Allowance>,
+    pub retry_budget: Option<RetryBudget>,
     /// Idle connections to a draining worker are closed within this span, where the site asks for it.
-    pub close_within: Option<Micros>,
+    pub drain_close_timeout: Option<Micros>,
     /// A worker may answer [`Outcome::Full`] for work that it had begun.
-    pub full_unproven: bool,
+    pub rejection_may_have_run: bool,
 }
 
 /// Attempts beyond each request's first that one scheduler may make: in any `window` at most `floor` plus
 /// `ratio` for each request it took in that window.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct RetryBudget {
     /// Attempts allowed however low the traffic.
-    pub floor: f64,
+    pub min_retries: f64,
     /// Attempts allowed for each request taken.
     pub ratio: f64,
     /// The span that is counted.
@@ -208,15 +208,15 @@
 impl Default for Safety {
     fn default() -> Safety {
         Safety {
-            grace_to_answer: 0,
-            ask_within: 10 * SECOND,
-            cold_share: 1.0,
-            cold: 0,
-            fall_multiple: 1.0,
-            fall: SECOND,
-            allowance: None,
-            close_within: None,
-            full_unproven: false,
+            answer_grace: 0,
+            poll_interval: 10 * SECOND,
+            initial_capacity_fraction: 1.0,
+            slow_start_window: 0,
+            overload_multiple: 1.0,
+            overload_window: SECOND,
+            retry_budget: None,
+            drain_close_timeout: None,
+            rejection_may_have_run: false,
         }
     }
 }
@@ -227,7 +227,7 @@
     /// How many schedulers share the workers, this one included.
     pub fleet_size: u32,
     /// This scheduler's number among them, from 0.
-    pub me: u32,
+    pub instance_index: u32,
     /// This scheduler's zone.
     pub zone: ZoneId,
     /// The request classes.
@@ -235,28 +235,28 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth counts for each unit of work instead of each request.
-    pub counted_by_work: bool,
+    pub weighted_by_work: bool,
     /// Worth of a request beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Where the result counts its slow end: the share of requests, by class and some seconds, that may miss
     /// their aim before the credit of all of them falls. A refusal within the aim is no miss.
-    pub tail_misses: Option<f64>,
+    pub tail_miss_fraction: Option<f64>,
     /// Discovery must be asked ([`Action::Watch`]); otherwise changes come by themselves.
-    pub must_watch: bool,
+    pub watch_required: bool,
     /// Whether changes count as told unheard once the watch has been closed for a while, so that the list is held under a
     /// lease ([`roselock_discovery_client::lease`]).
-    pub lease_list: bool,
+    pub list_lease_enabled: bool,
     /// What one call is taken to cost discovery before any was made; then the pace follows what calls show.
-    pub list_call: Micros,
+    pub list_call_time: Micros,
     /// Until discovery has answered, each worker is tried by one job first, and what must not run twice goes only to
     /// those that have answered.
-    pub careful: bool,
+    pub list_unconfirmed: bool,
     /// [`FleetEntry::units`] falls as a worker holds more requests.
-    pub live_units: bool,
+    pub units_fall_with_load: bool,
     /// Workers report when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Span between progress notes; 0 if there are none.
-    pub progress: Micros,
+    pub progress_interval: Micros,
     /// Least span between two steps of this instance.
     pub tick: Micros,
     /// What is permitted.
@@ -273,20 +273,20 @@
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
             fleet_size: 1,
-            me: 0,
+            instance_index: 0,
             zone: ZoneId(0),
             classes,
             tenants: Vec::new(),
-            counted_by_work: false,
-            over_share_worth: 1.0,
-            tail_misses: None,
-            must_watch: false,
-            lease_list: false,
-            list_call: LIST_CALL,
-            careful: false,
-            live_units: false,
-            tells_start: false,
-            progress: 0,
+            weighted_by_work: false,
+            over_quota_weight: 1.0,
+            tail_miss_fraction: None,
+            watch_required: false,
+            list_lease_enabled: false,
+            list_call_time: DEFAULT_LIST_CALL_TIME,
+            list_unconfirmed: false,
+            units_fall_with_load: false,
+            reports_start: false,
+            progress_interval: 0,
             tick: SECOND / 1000,
             limits: Limits::default(),
             costs: Costs::default(),
@@ -295,8 +295,12 @@
     }
 
     /// Who calls discovery, and within what time, for the pace of the calls.
-    pub fn round(&self) -> Round {
-        Round { all: self.fleet_size, me: self.me, within: self.safety.ask_within }
+    pub fn poll_parameters(&self) -> PollParameters {
+        PollParameters {
+            instance_count: self.fleet_size,
+            instance_index: self.instance_index,
+            poll_interval: self.safety.poll_interval,
+        }
     }
 
     /// Names the first field whose value makes no sense. [`Dispatcher::new`](crate::Dispatcher::new) asks this.
@@ -304,43 +308,43 @@
         let mut checks = vec![
             ("fleet_size".into(), self.fleet_size > 0, "must be at least 1"),
             ("classes".into(), !self.classes.is_empty(), "must not be empty"),
-            share("over_share_worth", self.over_share_worth),
-            span("progress", self.progress),
-            span("list_call", self.list_call),
+            share("over_share_worth", self.over_quota_weight),
+            span("progress", self.progress_interval),
+            span("list_call", self.list_call_time),
             ("tick".into(), self.tick > 0, "must be above 0"),
-            ("limits.send_cap".into(), self.limits.send_cap > 0, "must be at least 1"),
-            span("limits.conn_idle", self.limits.conn_idle),
+            ("limits.send_cap".into(), self.limits.max_attempts > 0, "must be at least 1"),
+            span("limits.conn_idle", self.limits.idle_timeout),
             ("limits.max_streams".into(), self.limits.max_streams > 0, "must be at least 1"),
             span("limits.connect_timeout", self.limits.connect_timeout),
             span("limits.max_retry_after", self.limits.max_retry_after),
             amount("costs.cross_zone", self.costs.cross_zone),
             amount("costs.handshake", self.costs.handshake),
-            amount("costs.origin", self.costs.origin),
-            amount("costs.waste", self.costs.waste),
-            amount("costs.late_fail", self.costs.late_fail),
-            amount("costs.probe", self.costs.probe),
-            span("safety.grace_to_answer", self.safety.grace_to_answer),
-            span("safety.ask_within", self.safety.ask_within),
-            share("safety.cold_share", self.safety.cold_share),
-            span("safety.cold", self.safety.cold),
-            amount("safety.fall_multiple", self.safety.fall_multiple),
-            span("safety.fall", self.safety.fall),
-            span("safety.close_within", self.safety.close_within.unwrap_or(0)),
-            share("tail_misses", self.tail_misses.unwrap_or(0.0)),
+            amount("costs.origin", self.costs.origin_fetch),
+            amount("costs.waste", self.costs.wasted_work),
+            amount("costs.late_fail", self.costs.late_failure),
+            amount("costs.probe", self.costs.health_check),
+            span("safety.grace_to_answer", self.safety.answer_grace),
+            span("safety.ask_within", self.safety.poll_interval),
+            share("safety.cold_share", self.safety.initial_capacity_fraction),
+            span("safety.cold", self.safety.slow_start_window),
+            amount("safety.fall_multiple", self.safety.overload_multiple),
+            span("safety.fall", self.safety.overload_window),
+            span("safety.close_within", self.safety.drain_close_timeout.unwrap_or(0)),
+            share("tail_misses", self.tail_miss_fraction.unwrap_or(0.0)),
         ];
         for (i, class) in self.classes.iter().enumerate() {
             let name = |field| format!("classes[{i}].{field}");
-            checks.push(amount(&name("worth"), class.worth));
-            checks.push(share(&name("late_value"), class.late_value));
-            checks.push(span(&name("promise"), class.promise));
-            checks.push(amount(&name("stretch"), class.stretch));
-            checks.push(span(&name("give_up"), class.give_up));
-            if let Effect::Keyed { window, .. } = class.effect {
+            checks.push(amount(&name("worth"), class.priority_weight));
+            checks.push(share(&name("late_value"), class.late_answer_fraction));
+            checks.push(span(&name("promise"), class.latency_objective));
+            checks.push(amount(&name("stretch"), class.objective_per_work));
+            checks.push(span(&name("give_up"), class.client_timeout));
+            if let Idempotency::IdempotencyKey { window, .. } = class.idempotency {
                 checks.push(span(&name("effect.window"), window));
             }
         }
-        if let Some(a) = &self.safety.allowance {
-            checks.push(amount("safety.allowance.floor", a.floor));
+        if let Some(a) = &self.safety.retry_budget {
+            checks.push(amount("safety.allowance.floor", a.min_retries));
             checks.push(amount("safety.allowance.ratio", a.ratio));
             checks.push(span("safety.allowance.window", a.window));
         }
@@ -387,7 +391,7 @@
 
 /// What discovery says of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Completes what it has; send nothing new.
@@ -398,11 +402,11 @@
 
 /// One line of discovery's list.
 #[derive(Clone, Debug)]
-pub struct FleetEntry {
+pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
     /// Its state.
-    pub state: Listed,
+    pub state: EndpointState,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
@@ -412,7 +416,7 @@
     /// A figure to compare it by.
     pub units: f64,
     /// Its latest start, `None`: long ago.
-    pub up_since: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// How the lines of a list are meant.
@@ -423,19 +427,19 @@
     /// The complete list: who is absent is gone.
     Complete,
     /// The complete list as of before the start: no word of discovery.
-    Known,
+    Cached,
 }
 
 impl ListMode {
     /// Whether who is absent is gone.
     pub fn is_complete(self) -> bool {
-        matches!(self, ListMode::Complete | ListMode::Known)
+        matches!(self, ListMode::Complete | ListMode::Cached)
     }
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Gauge {
+pub struct LoadReport {
     /// Free slots.
     pub free_slots: Option<f64>,
     /// Free memory units.
@@ -443,14 +447,14 @@
     /// The figures were taken some time before they came.
     pub delayed: bool,
     /// Share of its cores in use.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time without waiting.
-    pub latency: Option<Micros>,
+    pub service_time: Option<Micros>,
 }
 
 /// A client request.
 #[derive(Clone, Debug)]
-pub struct JobIn {
+pub struct JobRequest {
     /// Its id.
     pub job: JobId,
     /// Its class.
@@ -477,7 +481,7 @@
     /// Answered with an error; it may have run.
     Error,
     /// Turned away; unseen, unless [`Safety::full_unproven`] says otherwise.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or be running.
     Timeout,
     /// No connection; it never ran.
@@ -487,22 +491,22 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotStarted,
 }
 
 impl Outcome {
     /// Whether it proves that the attempt never ran, given [`Safety::full_unproven`].
     pub fn never_ran(self, full_unproven: bool) -> bool {
         match self {
-            Outcome::Full => !full_unproven,
-            outcome => matches!(outcome, Outcome::ConnectFailed | Outcome::Moot),
+            Outcome::Rejected => !full_unproven,
+            outcome => matches!(outcome, Outcome::ConnectFailed | Outcome::NotStarted),
         }
     }
 }
 
 /// What a note about an attempt says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum AttemptUpdate {
     /// The worker has started the job.
     Started,
     /// This share of it is done.
@@ -513,74 +517,74 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the workers.
-    Fleet {
+    EndpointList {
         /// How to read the entries.
         mode: ListMode,
         /// The entries.
-        entries: Vec<FleetEntry>,
+        endpoints: Vec<Endpoint>,
     },
     /// The watch on the workers, or a call for one, ended; the earlier list remains.
     WatchEnded(WatchEnd),
     /// The operators have moved discovery to another address, at that time.
-    ListMoved(Micros),
+    DiscoveryMoved(Micros),
     /// A client request arrived; exactly one final answer is owed.
-    Job(JobIn),
+    JobArrived(JobRequest),
     /// An attempt's stream has begun: it belongs to the client now.
-    Accepted {
+    StreamAccepted {
         /// The request.
         job: JobId,
         /// The attempt.
-        round: u32,
+        attempt: u32,
     },
     /// A note about an attempt that is out.
-    Notice {
+    AttemptProgress {
         /// The request.
         job: JobId,
         /// The attempt.
-        round: u32,
+        attempt: u32,
         /// What it says.
-        note: Note,
+        update: AttemptUpdate,
     },
     /// The worker of a job's attempt may still tell of it, though it is about to end: a call-back that comes late, or again.
     /// Nothing would tell that word from one of a further attempt there. Comes before the attempt's `Verdict`.
-    Unsettled {
+    LateReportPossible {
         /// The job.
         job: JobId,
         /// The worker of the attempt.
         worker: WorkerId,
     },
     /// An attempt ended; each has exactly one such event.
-    Verdict {
+    AttemptEnded {
         /// The request.
         job: JobId,
         /// The attempt.
-        round: u32,
+        attempt: u32,
         /// How it ended.
         outcome: Outcome,
         /// The request has concluded: nothing is owed any more.
-        last: bool,
+        concluded: bool,
         /// The worker's report, if one came along.
-        gauge: Gauge,
+        report: LoadReport,
     },
     /// The client left; nothing is owed any more.
-    CancelledByClient(JobId),
+    ClientDisconnected(JobId),
     /// A timer set with [`Action::Timer`] fell due.
-    Alarm(u64),
+    TimerFired(u64),
     /// A worker is taken out by hand, or given back: while out, it counts as draining whatever the list says.
-    Suspend {
+    SuspensionChanged {
         /// The worker, listed or not yet.
         worker: WorkerId,
         /// Out, or back.
-        out: bool,
+        suspended: bool,
     },
     /// The answer to a probe.
-    Health {
+    HealthCheckEnded {
         /// The worker.
         worker: WorkerId,
         /// It answered.
         ok: bool,
         /// Its report.
-        gauge: Gauge,
+        report: LoadReport,
     },
 }
 
@@ -594,21 +598,21 @@
         /// Where to.
         worker: WorkerId,
         /// Time-out of the attempt.
-        max_wait: Micros,
+        timeout: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         job: JobId,
         /// The attempt.
-        round: u32,
+        attempt: u32,
     },
     /// Final answer: declined, trying again is harmless. `backoff` 0 gives no advice.
-    Refuse {
+    Reject {
         /// The request.
         job: JobId,
         /// How long the client ought to stay away.
-        backoff: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed, nothing promised.
     Fail {
@@ -618,20 +622,20 @@
     /// Ask for [`Event::Alarm`] with `token` after `after`.
     Timer {
         /// From now.
-        after: Micros,
+        delay: Micros,
         /// Comes back with the alarm.
         token: u64,
     },
     /// Subscribe to discovery's changes.
-    Watch,
+    WatchEndpoints,
     /// Probe a worker.
-    Probe(WorkerId),
+    HealthCheck(WorkerId),
     /// Close idle connections to a worker.
-    Close(WorkerId),
+    CloseIdleConnections(WorkerId),
     /// A line for the operators' log about a worker.
     Log {
         /// What is said of it.
-        text: &'static str,
+        message: &'static str,
         /// Of whom.
         worker: WorkerId,
     },
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -6,7 +6,7 @@
 use crate::api::*;
 pub use crate::state::Dispatcher;
 use crate::state::*;
-use roselock_discovery_client::poll_schedule::GOLDEN;
+use roselock_discovery_client::poll_schedule::GOLDEN_RATIO;
 use std::collections::BTreeSet;
 
 const WINDOW: f64 = 256.0; // length of the payoff window in ticks, by which T is pushed on when it is reached
@@ -133,7 +133,7 @@
         self.room[SLOT].tell(self.running[SLOT], free, now);
         self.news = true;
     }
-    fn report(&mut self, gauge: &Gauge, now: Micros) {
+    fn report(&mut self, gauge: &LoadReport, now: Micros) {
         // Its figures were taken beside what ran then: not what has started since, but what has ended since.
         let running = self.ran(if gauge.delayed { now - REPORT_AGE } else { now });
         for (r, free) in [(SLOT, gauge.free_slots), (MEMORY, gauge.free_memory)] {
@@ -150,7 +150,7 @@
     /// A dispatcher without workers or jobs; equal seeds and events give equal actions.
     pub fn new(set: Settings, seed: u64) -> Result<Dispatcher, SettingsError> {
         set.check()?;
-        let work = |c: &Class| c.promise.max(SECOND / 1000) as f64 / SECOND as f64;
+        let work = |c: &Class| c.latency_objective.max(SECOND / 1000) as f64 / SECOND as f64;
         let classes: Vec<_> = set.classes.iter().map(|c| Mean { mean: work(c), seen: 1.0 }).collect();
         let mean = set.classes.iter().map(work).sum::<f64>() / set.classes.len() as f64;
         let tick = ((mean * SECOND as f64) as Micros / 2).clamp(SECOND / 1000, SECOND);
@@ -165,10 +165,10 @@
                 (true, now / self.tick, now - self.tick, now);
             self.window_end = (now / self.tick) as f64 + WINDOW;
             self.since = now;
-            if self.set.must_watch {
+            if self.set.watch_required {
                 // All may have come up at once, and discovery serves in turn: each at a time of its own.
-                let after = self.calls.first(self.set.round());
-                out.push(Action::Timer { after, token: WATCH_TOKEN });
+                let after = self.calls.first_delay(self.set.poll_parameters());
+                out.push(Action::Timer { delay: after, token: WATCH_TOKEN });
             }
         }
         let mut changed = events.iter().fold(false, |changed, e| self.take(e, out) | changed);
@@ -186,35 +186,40 @@
     /// Books one event; true if a waiting job might leave because of it.
     fn take(&mut self, event: &Event, out: &mut Vec<Action>) -> bool {
         match event {
-            Event::Fleet { .. } | Event::WatchEnded(_) | Event::ListMoved(_) | Event::Suspend { .. } => {
+            Event::EndpointList { .. }
+            | Event::WatchEnded(_)
+            | Event::DiscoveryMoved(_)
+            | Event::SuspensionChanged { .. } => {
                 self.listed(event, out);
             }
-            Event::Job(job) => self.arrive(job, out),
-            Event::Accepted { job, .. } => self.stream(*job),
-            Event::Notice { job, round, note } => return self.notice(*job, *round, *note),
-            Event::Unsettled { job, worker } => {
+            Event::JobArrived(job) => self.arrive(job, out),
+            Event::StreamAccepted { job, .. } => self.stream(*job),
+            Event::AttemptProgress { job, attempt, update } => return self.notice(*job, *attempt, *update),
+            Event::LateReportPossible { job, worker } => {
                 let w = self.index.get(worker).copied();
                 self.jobs.entry(*job).and_modify(|j| j.unsettled.extend(w));
             }
-            Event::Verdict { job, round, outcome, last, gauge } => {
-                self.verdict(*job, *round, (*outcome, *last), gauge, out);
+            Event::AttemptEnded { job, attempt, outcome, concluded, report } => {
+                self.verdict(*job, *attempt, (*outcome, *concluded), report, out);
             }
-            Event::CancelledByClient(job) => self.end(*job, out),
-            Event::Alarm(TICK_TOKEN) => self.tick_due = None,
-            Event::Alarm(WATCH_TOKEN) => out.extend(self.calls.called(self.now).then_some(Action::Watch)),
-            Event::Alarm(MOVE_TOKEN) => {}
-            Event::Alarm(id) => {
+            Event::ClientDisconnected(job) => self.end(*job, out),
+            Event::TimerFired(TICK_TOKEN) => self.tick_due = None,
+            Event::TimerFired(WATCH_TOKEN) => {
+                out.extend(self.calls.begin_poll(self.now).then_some(Action::WatchEndpoints))
+            }
+            Event::TimerFired(MOVE_TOKEN) => {}
+            Event::TimerFired(id) => {
                 let id = JobId(*id as u32);
                 if self.jobs.get(&id).is_some_and(|j| self.now >= j.deadline - 2 * self.set.tick) {
                     self.answer(id, out);
                 }
             }
-            Event::Health { worker, ok, gauge } => {
+            Event::HealthCheckEnded { worker, ok, report } => {
                 if let Some(&w) = self.index.get(worker).filter(|_| *ok) {
                     // A process that died is not back so soon.
                     let asked = self.workers[w].broke.filter(|at| self.now - at < TOGETHER);
                     self.workers[w].alive(asked.unwrap_or(self.now), self.now);
-                    self.workers[w].report(gauge, self.now);
+                    self.workers[w].report(report, self.now);
                 }
             }
         }
@@ -223,7 +228,7 @@
 
     // ---- Job ledger and rule guards ----
 
-    fn arrive(&mut self, new: &JobIn, out: &mut Vec<Action>) {
+    fn arrive(&mut self, new: &JobRequest, out: &mut Vec<Action>) {
         let c = new.class.0 as usize;
         if c >= self.set.classes.len() || self.jobs.contains_key(&new.job) {
             return;
@@ -231,22 +236,22 @@
         let hint = new.work_hint.filter(|h| h.is_finite() && *h > 0.0);
         hint.iter().for_each(|h| self.classes[c].add(*h, 1.0, 100.0));
         let work = hint.unwrap_or(self.classes[c].mean);
-        let worth = self.set.classes[c].worth * if self.set.counted_by_work { work } else { 1.0 };
+        let worth = self.set.classes[c].priority_weight * if self.set.weighted_by_work { work } else { 1.0 };
         self.worth.add(worth, 1.0, 200.0);
         self.work.add(work, 1.0, 200.0);
         self.rate.add(0.0, 1.0, self.now, RATE_MEMORY);
         self.flow.add(0.0, 1.0, self.now, FLOW_MEMORY);
-        self.set.safety.allowance.iter().for_each(|a| log(&mut self.taken, self.now, a.window));
+        self.set.safety.retry_budget.iter().for_each(|a| log(&mut self.taken, self.now, a.window));
         let share = new.tenant.map_or(1.0, |t| self.share_worth(t.0 as usize));
         // Rule 1: each job carries its own timer. A tick early, so that the answer is never late.
-        out.push(Action::Timer { after: (new.budget - self.set.tick).max(0), token: new.job.0 as u64 });
+        out.push(Action::Timer { delay: (new.budget - self.set.tick).max(0), token: new.job.0 as u64 });
         // A later try of a client brings the less patience; its aim counts from the first.
         self.patience[c] = self.patience[c].max(new.budget);
         let before = if new.budget > self.patience[c] / 2 { self.patience[c] - new.budget } else { 0 };
-        let key = new.key.filter(|_| self.set.costs.origin > 0.0);
+        let key = new.key.filter(|_| self.set.costs.origin_fetch > 0.0);
         let (homes, value) = (self.homes(key), share * worth / self.worth.mean.max(f64::MIN_POSITIVE));
         let first = self.now - before;
-        let effect = self.set.classes[c].effect;
+        let effect = self.set.classes[c].idempotency;
         self.jobs
             .insert(new.job, Job { effect, work, key, homes, value, first, ..Job::new(new, hint, self.now) });
         self.waiting.push(new.job);
@@ -267,7 +272,7 @@
         rate.add(0.0, 1.0, self.now, RATE_MEMORY);
         let own = rate.weight * SECOND as f64 / RATE_MEMORY;
         let quota = t.quota_per_s / self.set.fleet_size as f64;
-        self.set.over_share_worth + (1.0 - self.set.over_share_worth) * (quota / own).min(1.0)
+        self.set.over_quota_weight + (1.0 - self.set.over_quota_weight) * (quota / own).min(1.0)
     }
 
     /// Rules 2 to 5, and what the site allows: the only way to a send.
@@ -275,28 +280,29 @@
         let (worker, class, limits) = (&self.workers[w], &self.set.classes[job.class], &self.set.limits);
         // Rule 3: from the word of a drain on, nothing new.
         if !worker.ready
-            || !self.list_holds()
+            || !self.list_is_valid()
             || job.ended
             || job.streaming
             || self.now >= job.deadline
-            || job.tries.len() >= limits.send_cap as usize
+            || job.tries.len() >= limits.max_attempts as usize
             || job.unsettled.contains(&w)
             || (!job.tries.is_empty() && !self.within_allowance())
             || class.kind.is_some_and(|k| k != worker.listed.kind)
-            || (self.careful && job.effect == Effect::Unsafe && worker.doubt.is_some())
-            || (job.any_out() && (!limits.second_copies || job.tries.iter().any(|t| t.out && t.worker == w)))
+            || (self.careful && job.effect == Idempotency::NonIdempotent && worker.doubt.is_some())
+            || (job.any_out()
+                && (!limits.hedged_requests || job.tries.iter().any(|t| t.out && t.worker == w)))
         {
             return false;
         }
         // Rule 2: what may have run already binds what may follow.
         let mut may_have_run = job.tries.iter().filter(|t| !t.never_ran);
         let repeat_ok = match (job.effect, may_have_run.clone().next()) {
-            (_, None) | (Effect::Safe, _) => true,
-            (Effect::Unsafe, _) => false,
-            (Effect::Keyed { scope, window }, Some(first)) => {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::NonIdempotent, _) => false,
+            (Idempotency::IdempotencyKey { scope, window }, Some(first)) => {
                 // The repeat must arrive, too, while the group remembers.
                 self.now - first.sent < window - SECOND / 100
-                    && may_have_run.all(|t| scope.joins(&self.workers[t.worker].listed, &worker.listed))
+                    && may_have_run.all(|t| scope.shares_keys(&self.workers[t.worker].listed, &worker.listed))
             }
         };
         repeat_ok && self.within_cold_budget(worker, job)
@@ -304,33 +310,35 @@
 
     /// Rule 5: attempts beyond the first, this included. The span's first instant counts for these alone.
     fn within_allowance(&self) -> bool {
-        let Some(a) = &self.set.safety.allowance else { return true };
+        let Some(a) = &self.set.safety.retry_budget else { return true };
         let since = self.now - a.window;
         let further = self.further.iter().rev().take_while(|at| **at >= since).count() + 1;
         let taken = self.taken.iter().rev().take_while(|at| **at > since).count();
-        further as f64 <= a.floor + a.ratio * taken as f64
+        further as f64 <= a.min_retries + a.ratio * taken as f64
     }
 
     /// Least share of its capacity that a worker had then, on the slowest warming allowed.
     fn warmth(&self, worker: &Worker, at: Micros) -> f64 {
         let safety = &self.set.safety;
         let broke = worker.broke.filter(|at| self.now - at < PRESUMED);
-        let up = worker.started.max(broke).filter(|up| at < up.saturating_add(safety.cold));
-        let age = |up: Micros| (at - up).max(0) as f64 / safety.cold as f64;
-        up.map_or(1.0, |up| safety.cold_share + (1.0 - safety.cold_share) * age(up))
+        let up = worker.started.max(broke).filter(|up| at < up.saturating_add(safety.slow_start_window));
+        let age = |up: Micros| (at - up).max(0) as f64 / safety.slow_start_window as f64;
+        up.map_or(1.0, |up| {
+            safety.initial_capacity_fraction + (1.0 - safety.initial_capacity_fraction) * age(up)
+        })
     }
 
     /// Whether a worker may still be warming up: over any span of `fall` that ends now.
     fn cold(&self, worker: &Worker) -> bool {
-        self.warmth(worker, self.now - self.set.safety.fall) < 1.0
+        self.warmth(worker, self.now - self.set.safety.overload_window) < 1.0
     }
 
     /// Work that we all together may send to a cold worker in that span, by what it could do at its start.
     fn bears(&self, worker: &Worker) -> f64 {
         let safety = &self.set.safety;
-        let warmth = self.warmth(worker, self.now - safety.fall);
+        let warmth = self.warmth(worker, self.now - safety.overload_window);
         let capacity = worker.room[SLOT].total.max(1.0) * warmth / self.pace(worker).exp();
-        COLD_CARE * safety.fall_multiple * capacity * safety.fall as f64 / SECOND as f64
+        COLD_CARE * safety.overload_multiple * capacity * safety.overload_window as f64 / SECOND as f64
     }
 
     /// Schedulers that may send to it: so few that a job of any class fits into a part.
@@ -347,7 +355,7 @@
         let span = (self.now - self.since).min(FLOW_MEMORY as Micros) as f64 / SECOND as f64;
         let flow = self.flow.weight * self.flow.keep(self.now, FLOW_MEMORY);
         let part = if usual > 0.0 { (flow / usual + FLOW_PRIOR) / (span + FLOW_PRIOR) } else { 1.0 };
-        let (id, fall) = (mix(worker.listed.worker.0), self.set.safety.fall.max(1));
+        let (id, fall) = (mix(worker.listed.worker.0), self.set.safety.overload_window.max(1));
         let turn = if all < MANY { Micros::MAX / 4 } else { TURN * fall };
         let at = self.now + (id % turn as u64) as Micros;
         let first = |at: Micros| self.place(mix(id ^ (at / turn) as u64)) as f64;
@@ -361,7 +369,7 @@
         }
         // A short job counts as its class's mean, or a crowd of them would push a worker over.
         let (seen, weight) = (self.classes[job.class].seen, job.work.max(self.classes[job.class].mean));
-        let recent = worker.sent_since(self.now - self.set.safety.fall);
+        let recent = worker.sent_since(self.now - self.set.safety.overload_window);
         let alone = seen <= 1.0 && recent + worker.own[SLOT] == 0.0;
         let part = || if alone { weight } else { self.bears(worker) / self.stewards(worker) };
         self.steward(worker) && weight + recent <= part()
@@ -380,10 +388,10 @@
         let patience = (quick as f64 * ways) as Micros + 2 * self.set.tick + extra;
         let new =
             Try { worker: w, patience, sent: now, heard: now, run, beside, out: true, ..Try::default() };
-        let counted = self.set.safety.allowance.iter().filter(|_| !job.tries.is_empty());
+        let counted = self.set.safety.retry_budget.iter().filter(|_| !job.tries.is_empty());
         counted.for_each(|a| log(&mut self.further, now, a.window));
         job.tries.push(Try { booked: true, ..new });
-        worker.book(job.need, 1.0, !self.set.tells_start, now);
+        worker.book(job.need, 1.0, !self.set.reports_start, now);
         [SLOT, MEMORY].iter().for_each(|&r| worker.view.free[r] -= job.need[r]);
         worker.idle.pop();
         worker.connected = true;
@@ -393,24 +401,30 @@
             let left = worker.room[SLOT].latest - worker.own[SLOT];
             worker.view.free[SLOT] = if worker.on_trial { 0.0 } else { left };
         }
-        worker.recent.retain(|s| s.0 >= now - self.set.safety.fall);
+        worker.recent.retain(|s| s.0 >= now - self.set.safety.overload_window);
         worker.recent.push((now, job.work.max(self.classes[job.class].mean)));
         job.key.iter().for_each(|key| worker.remember(*key, KEYS));
-        out.push(Action::Send { job: id, worker: worker.listed.worker, max_wait: 0 });
+        out.push(Action::Send { job: id, worker: worker.listed.worker, timeout: 0 });
         if self.moves(&self.jobs[&id]) {
-            out.push(Action::Timer { after: patience, token: MOVE_TOKEN });
+            out.push(Action::Timer { delay: patience, token: MOVE_TOKEN });
         }
     }
 
     /// Rules 1 and 2: the only way to a final answer of our own, once for a job; refused only if harmless.
     fn answer(&mut self, id: JobId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.ended && !j.streaming) else { return };
-        let harmless = matches!(job.effect, Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. })
-            || job.tries.iter().all(|t| t.never_ran);
+        let harmless = matches!(
+            job.effect,
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+        ) || job.tries.iter().all(|t| t.never_ran);
         // Come back when the present jobs have run, or after as long as this one was held.
         let most = self.set.limits.max_retry_after * self.set.limits.retry_after as Micros;
         let backoff = (self.turnover() as Micros).max(self.now - job.arrived).min(most);
-        out.push(if harmless { Action::Refuse { job: id, backoff } } else { Action::Fail { job: id } });
+        out.push(if harmless {
+            Action::Reject { job: id, retry_after: backoff }
+        } else {
+            Action::Fail { job: id }
+        });
         self.end(id, out);
     }
 
@@ -420,7 +434,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let call_off = self.set.limits.cancel && !job.streaming && !std::mem::replace(&mut job.ended, true);
         for (round, _) in job.tries.iter().enumerate().filter(|(_, t)| t.out && call_off) {
-            out.push(Action::Cancel { job: id, round: round as u32 });
+            out.push(Action::Cancel { job: id, attempt: round as u32 });
         }
         job.ended = true;
         if !job.any_out() {
@@ -434,7 +448,10 @@
         let Some(job) = self.jobs.get_mut(&id).filter(idle) else { return };
         let repeatable = job.repeatable(self.now);
         let (limits, any_out) = (&self.set.limits, job.any_out());
-        if repeatable && job.tries.len() < limits.send_cap as usize && (!any_out || limits.second_copies) {
+        if repeatable
+            && job.tries.len() < limits.max_attempts as usize
+            && (!any_out || limits.hedged_requests)
+        {
             job.waiting = true;
             self.waiting.push(id);
         } else if !any_out {
@@ -442,11 +459,18 @@
         }
     }
 
-    fn verdict(&mut self, id: JobId, round: u32, end: (Outcome, bool), gauge: &Gauge, out: &mut Vec<Action>) {
+    fn verdict(
+        &mut self,
+        id: JobId,
+        round: u32,
+        end: (Outcome, bool),
+        gauge: &LoadReport,
+        out: &mut Vec<Action>,
+    ) {
         let ((outcome, last), now) = (end, self.now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(t) = job.tries.get_mut(round as usize).filter(|t| t.out) else { return };
-        (t.out, t.never_ran) = (false, outcome.never_ran(self.set.safety.full_unproven));
+        (t.out, t.never_ran) = (false, outcome.never_ran(self.set.safety.rejection_may_have_run));
         let w = t.worker;
         let worker = &mut self.workers[w];
         // A report is older than its answer: a job that ran was still in its figures, one turned away never.
@@ -454,7 +478,7 @@
         if ran {
             worker.report(gauge, now);
         }
-        let runs = t.started.is_some() || !self.set.tells_start;
+        let runs = t.started.is_some() || !self.set.reports_start;
         (worker.news, worker.overrun, worker.stood) = (true, f64::NEG_INFINITY, 0.0);
         if std::mem::take(&mut t.booked) {
             worker.book(job.need, -1.0, runs, now);
@@ -466,7 +490,7 @@
         // Not a word since it was sent: freeing its booking must not make a vanished worker look empty.
         let unheard = t.heard == t.sent && worker.heard < t.sent && took > self.tick;
         let (class, work, hinted) = (job.class, job.work, job.hinted);
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             worker.alive(sent, now);
             worker.idle.push(now);
         }
@@ -480,14 +504,16 @@
             }
             Outcome::Error => worker.healthy(false, now),
             // Turned away beside free slots: it is the lane (tenant and class) that is not wanted there.
-            Outcome::Full if gauge.free_slots.is_some_and(|f| f > 0.5) => worker.shun(job.lane, now + SHUN),
-            Outcome::Full => worker.room[SLOT].infer(beside, false, worker.running[SLOT], now),
+            Outcome::Rejected if gauge.free_slots.is_some_and(|f| f > 0.5) => {
+                worker.shun(job.lane, now + SHUN)
+            }
+            Outcome::Rejected => worker.room[SLOT].infer(beside, false, worker.running[SLOT], now),
             Outcome::Reset => {
                 self.presume_restart(w);
                 self.workers[w].cut = true;
-                if self.set.limits.may_probe {
+                if self.set.limits.health_checks_allowed {
                     self.workers[w].probed = now;
-                    out.push(Action::Probe(self.workers[w].listed.worker));
+                    out.push(Action::HealthCheck(self.workers[w].listed.worker));
                 }
             }
             Outcome::ConnectFailed if took < self.set.limits.connect_timeout / 2 => self.presume_restart(w),
@@ -507,7 +533,7 @@
 
     // ---- The list of workers ----
 
-    pub(crate) fn fleet(&mut self, mode: ListMode, entries: &[FleetEntry], out: &mut Vec<Action>) {
+    pub(crate) fn fleet(&mut self, mode: ListMode, entries: &[Endpoint], out: &mut Vec<Action>) {
         let mut changed = mode.is_complete();
         if changed {
             let listed: BTreeSet<WorkerId> = entries.iter().map(|e| e.worker).collect();
@@ -517,22 +543,24 @@
         for e in entries {
             let known = self.index.get(&e.worker).copied();
             // A changed time is a start, whatever it says; one that was long ago when first listed is none.
-            let started = known.is_some() || e.up_since.is_some();
-            match known.filter(|w| e.up_since == self.workers[*w].listed.up_since) {
+            let started = known.is_some() || e.started_at.is_some();
+            match known.filter(|w| e.started_at == self.workers[*w].listed.started_at) {
                 None => {
                     let (room, price) = *means.get_or_insert_with(|| self.newcomer(FIRST_ROOM));
                     let mut worker = Worker::new(e, room, price, self.now);
-                    worker.started = started.then(|| self.start_of(e.up_since)).flatten();
+                    worker.started = started.then(|| self.start_of(e.started_at)).flatten();
                     self.enrol(known, worker);
                     changed = true;
                 }
                 Some(w) => {
-                    let (worker, ready) = (&mut self.workers[w], e.state == Listed::Ready);
+                    let (worker, ready) = (&mut self.workers[w], e.state == EndpointState::Ready);
                     if ready != worker.ready || e.zone != worker.listed.zone {
                         (worker.ready, worker.news, changed) = (ready, true, true);
                     }
                     worker.listed = e.clone();
-                    if self.set.live_units && self.now - worker.room[SLOT].at > (turnover / 2.0) as Micros {
+                    if self.set.units_fall_with_load
+                        && self.now - worker.room[SLOT].at > (turnover / 2.0) as Micros
+                    {
                         let total = self.kind_total.entry(e.kind).or_insert(0.0);
                         *total = total.max(worker.room[SLOT].total);
                         worker.weigh(*total, self.now);
@@ -549,9 +577,12 @@
 
     fn close_drained(&mut self, w: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[w];
-        if self.set.safety.close_within.is_some() && !worker.ready && std::mem::take(&mut worker.connected) {
+        if self.set.safety.drain_close_timeout.is_some()
+            && !worker.ready
+            && std::mem::take(&mut worker.connected)
+        {
             worker.idle.clear();
-            out.push(Action::Close(worker.listed.worker));
+            out.push(Action::CloseIdleConnections(worker.listed.worker));
         }
     }
 
@@ -561,7 +592,7 @@
         let ready = self.workers.iter().enumerate().filter(|(_, w)| w.ready);
         self.ring = ready.map(|(w, worker)| (mix(worker.listed.worker.0), w)).collect();
         self.ring.sort_unstable();
-        let start = (self.set.me as f64 * GOLDEN).fract();
+        let start = (self.set.instance_index as f64 * GOLDEN_RATIO).fract();
         for beyond in [false, true] {
             let here = |w: &usize| (self.workers[*w].listed.zone != self.set.zone) == beyond;
             let mut part: Vec<usize> = self.ring.iter().map(|w| w.1).filter(here).collect();
@@ -624,14 +655,14 @@
             return;
         }
         if worker.doubt_pause == 0 {
-            out.push(Action::Log { text: "in doubt", worker: worker.listed.worker });
+            out.push(Action::Log { message: "in doubt", worker: worker.listed.worker });
         }
         worker.doubt_pause = (worker.doubt_pause * 2).clamp(PAUSE[0], PAUSE[1]);
         worker.doubt = Some(now + worker.doubt_pause);
         (worker.on_trial, worker.news) = (false, true);
         if !worker.idle.is_empty() {
             worker.idle.clear();
-            out.push(Action::Close(worker.listed.worker));
+            out.push(Action::CloseIdleConnections(worker.listed.worker));
         }
     }
 
@@ -643,7 +674,7 @@
         let struck = self.workers[w].listed.clone();
         let fell = |w: &&Worker| w.broke.is_some_and(|at| now - at < TOGETHER);
         for by_zone in [true, false] {
-            let like = |e: &FleetEntry| if by_zone { e.zone == struck.zone } else { e.kind == struck.kind };
+            let like = |e: &Endpoint| if by_zone { e.zone == struck.zone } else { e.kind == struck.kind };
             let group = || self.workers.iter().filter(|w| like(&w.listed));
             let holding = group().filter(|w| w.own[SLOT] > 0.0 && !fell(w)).count();
             if group().filter(fell).count() >= holding.max(3) {
@@ -652,7 +683,7 @@
         }
     }
 
-    fn notice(&mut self, id: JobId, round: u32, note: Note) -> bool {
+    fn notice(&mut self, id: JobId, round: u32, note: AttemptUpdate) -> bool {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let (work, hinted, class) = (job.work, job.hinted, job.class);
@@ -662,8 +693,8 @@
         let worker = &mut self.workers[w];
         worker.alive(t.sent, now);
         match note {
-            Note::Started => {
-                if t.started.replace(now).is_none() && t.booked && self.set.tells_start {
+            AttemptUpdate::Started => {
+                if t.started.replace(now).is_none() && t.booked && self.set.reports_start {
                     worker.mark(now);
                     [SLOT, MEMORY].iter().for_each(|&r| worker.running[r] += job.need[r]);
                 }
@@ -678,14 +709,14 @@
                 worker.room[SLOT].infer(t.beside, at_once, worker.running[SLOT], now);
                 self.stop_waiting(id);
             }
-            Note::Progress(done) if done > 0.0 && done <= 1.0 => {
+            AttemptUpdate::Progress(done) if done > 0.0 && done <= 1.0 => {
                 t.run = (now - t.started.unwrap_or(t.sent)) as f64 / done;
                 let run = t.run;
                 if hinted {
                     self.learn_pace(w, run, work, true, class, 0.5 * done);
                 }
             }
-            Note::Progress(_) => {}
+            AttemptUpdate::Progress(_) => {}
         }
         false
     }
@@ -693,8 +724,9 @@
     /// Whether an attempt that has not started may be called off: where others fill workers, unseen by us.
     fn moves(&self, job: &Job) -> bool {
         let limits = &self.set.limits;
-        let may = limits.cancel && !limits.second_copies && self.set.tells_start && self.set.fleet_size > 1;
-        may && job.effect == Effect::Safe && job.tries.len() < limits.send_cap as usize
+        let may =
+            limits.cancel && !limits.hedged_requests && self.set.reports_start && self.set.fleet_size > 1;
+        may && job.effect == Idempotency::Idempotent && job.tries.len() < limits.max_attempts as usize
     }
 
     /// Reports are old, and all act on them: what may be repeated does not stand long at a full worker.
@@ -716,7 +748,7 @@
             let worker = &mut self.workers[t.worker];
             worker.room[SLOT].infer(t.beside, false, worker.running[SLOT], now);
             worker.news = true;
-            out.push(Action::Cancel { job: id, round: round as u32 });
+            out.push(Action::Cancel { job: id, attempt: round as u32 });
         }
     }
 
@@ -733,8 +765,8 @@
                     if job.hinted && elapsed > 1.5 * t.run {
                         worker.overrun = worker.overrun.max((elapsed / SECOND as f64 / job.work).ln());
                     }
-                    let due = self.set.progress * 3 / 2 + 2 * self.tick;
-                    if self.set.progress > 0 && now - t.heard > due {
+                    let due = self.set.progress_interval * 3 / 2 + 2 * self.tick;
+                    if self.set.progress_interval > 0 && now - t.heard > due {
                         stuck.push(id);
                         if now - worker.heard > due && worker.ready {
                             silent.push(t.worker);
@@ -743,8 +775,8 @@
                 } else {
                     // The waits noted are of jobs that started: one that still stands there says more.
                     worker.stood =
-                        worker.stood.max(if self.set.tells_start { (now - t.sent) as f64 } else { 0.0 });
-                    let wait = if self.set.tells_start { 2.0 * worker.view.wait } else { 4.0 * t.run };
+                        worker.stood.max(if self.set.reports_start { (now - t.sent) as f64 } else { 0.0 });
+                    let wait = if self.set.reports_start { 2.0 * worker.view.wait } else { 4.0 * t.run };
                     if now - t.sent > 2 * self.tick + wait as Micros {
                         stuck.push(id);
                         worker.room[SLOT].infer(t.beside, false, worker.running[SLOT], now);
@@ -771,7 +803,7 @@
         // A zone short of workers makes jobs wait that others would start at once.
         let waits = self.waits.each_ref().map(|w| w.pooled(0.0, now, WAIT_MEMORY));
         self.outlook = (self.turnover(), waits);
-        let warm = now - self.set.safety.cold - self.set.safety.fall;
+        let warm = now - self.set.safety.slow_start_window - self.set.safety.overload_window;
         self.order[2].retain(|w| self.workers[*w].started.is_some_and(|up| up > warm));
         self.near.clear();
         for (part, most) in NEAR.into_iter().enumerate() {
@@ -806,7 +838,7 @@
         let (costs, best) = (&self.set.costs, self.best_success);
         let held = self.waiting.first().and_then(|id| self.jobs.get(id)).map_or(0, |j| now - j.arrived);
         let worker = &mut self.workers[w];
-        worker.idle.retain(|at| *at > now - self.set.limits.conn_idle);
+        worker.idle.retain(|at| *at > now - self.set.limits.idle_timeout);
         worker.shunned.retain(|s| s.1 > now);
         let success = worker.lone_success(now);
         // One that errs at once is always idle: each error puts its next trial off, and that is of one job.
@@ -845,38 +877,39 @@
         if let Some(key) = job.key {
             let home = job.homes.iter().position(|h| *h == Some(w)).map_or(1.0, |h| HOME_MISS[h]);
             let sent = if worker.keys.contains(&key) { SENT_MISS } else { 1.0 };
-            fees += self.set.costs.origin * home * sent;
+            fees += self.set.costs.origin_fetch * home * sent;
         }
         let ticks = run / tick;
-        let aim = class.promise as f64 + class.stretch * job.work * SECOND as f64;
+        let aim = class.latency_objective as f64 + class.objective_per_work * job.work * SECOND as f64;
         let (in_time, in_life) = self.chances(job, view.stretch, view.wait);
         if job.tries.iter().any(|t| t.out && self.workers[t.worker].doubt.is_none()) {
             // Beside a copy on a live worker another adds only the chance of being in time, at its work.
-            let gain = (1.0 - class.late_value) * in_time * in_life * success;
-            return (job.value * (gain - self.set.costs.waste) - fees, ticks);
+            let gain = (1.0 - class.late_answer_fraction) * in_time * in_life * success;
+            return (job.value * (gain - self.set.costs.wasted_work) - fees, ticks);
         }
-        let throughput = class.late_value * in_life * ticks.min(left) / ticks;
+        let throughput = class.late_answer_fraction * in_life * ticks.min(left) / ticks;
         let saved = SAVED_STEPS * ((left - ticks).max(0.0) + left) / (2.0 * WINDOW);
         let start = if now - job.first as f64 <= START_SHARE * aim { START_BONUS } else { 0.0 };
-        let worth = throughput + (1.0 - class.late_value) * in_time * in_life + saved + start
-            - self.set.tail_misses.map_or(0.0, |_| MISS_COST * (1.0 - in_time * in_life));
-        (job.value * (success * worth - (1.0 - success) * self.set.costs.late_fail) + SIGMA - fees, ticks)
+        let worth = throughput + (1.0 - class.late_answer_fraction) * in_time * in_life + saved + start
+            - self.set.tail_miss_fraction.map_or(0.0, |_| MISS_COST * (1.0 - in_time * in_life));
+        (job.value * (success * worth - (1.0 - success) * self.set.costs.late_failure) + SIGMA - fees, ticks)
     }
 
     /// Chances that a job that starts after `wait` ends in time, and in its client's life.
     pub(crate) fn chances(&self, job: &Job, stretch: f64, wait: f64) -> (f64, f64) {
         let (class, now) = (&self.set.classes[job.class], self.now as f64);
         let (since, life) = (now - job.first as f64, job.deadline as f64 - now);
-        let promise = class.promise as f64 - since - wait;
+        let promise = class.latency_objective as f64 - since - wait;
         if job.hinted {
             let run = job.work * stretch;
-            let slack = promise + class.stretch * job.work * SECOND as f64 - run;
+            let slack = promise + class.objective_per_work * job.work * SECOND as f64 - run;
             let spread = 0.2 * run + 0.5 * wait + 2.0 * self.set.tick as f64;
             return (1.0 / (1.0 + (-slack / spread).exp()), if run + wait < life { 1.0 } else { 0.1 });
         }
         // Without a hint the work is any of its class: a short job has less leave, a long one less life.
         let below = |work: f64| self.spreads[job.class].below(work);
-        let (gain, lived) = (class.stretch * SECOND as f64 - stretch, below((life - wait) / stretch));
+        let (gain, lived) =
+            (class.objective_per_work * SECOND as f64 - stretch, below((life - wait) / stretch));
         let in_time = match (promise >= 0.0, gain >= 0.0) {
             (true, true) => lived,
             (true, false) => lived.min(below(promise / -gain)),
@@ -963,12 +996,12 @@
     /// too, may stand in line for the next slot.
     fn fits(&self, w: usize, job: &Job) -> bool {
         let (View { free, line, .. }, need) = (&self.workers[w].view, job.need);
-        let next = *line && job.hinted && self.set.classes[job.class].late_value > 0.0;
+        let next = *line && job.hinted && self.set.classes[job.class].late_answer_fraction > 0.0;
         let fits = |&r: &usize| need[r] == 0.0 || need[r] <= free[r] + 1e-9;
         let room =
             next && need[SLOT] <= free[SLOT] + 1.0 || free[SLOT] > 0.0 && [SLOT, MEMORY].iter().all(fits);
         // What an error ends is no trial.
-        let again = !matches!(self.set.classes[job.class].effect, Effect::Unsafe);
+        let again = !matches!(self.set.classes[job.class].idempotency, Idempotency::NonIdempotent);
         let sound = again || self.workers[w].view.success >= TRIAL_BELOW * self.best_success;
         let lately = self.now - (RETURN * self.outlook.0) as Micros;
         let stood = job.tries.iter().any(|t| t.quit && t.worker == w && t.sent > lately);
@@ -1020,12 +1053,12 @@
             // An old figure says little: ask first, where allowed, and let no other job of the pass slip by.
             let moves = self.moves(&self.jobs[&id]);
             let (worker, now) = (&mut self.workers[w], self.now);
-            let old = self.set.limits.may_probe && !moves && now - worker.room[SLOT].at > stale;
+            let old = self.set.limits.health_checks_allowed && !moves && now - worker.room[SLOT].at > stale;
             if old && now - worker.probed > stale {
                 // One worker a job and pass: a question costs, and the best one's answer may do.
                 if asked.insert(id) {
                     worker.probed = now;
-                    out.push(Action::Probe(worker.listed.worker));
+                    out.push(Action::HealthCheck(worker.listed.worker));
                 }
             } else if !old || now - worker.probed >= self.tick / 8 {
                 self.send(id, w, out);
@@ -1038,8 +1071,8 @@
     /// worth, is answered at once: it would only take room, at its worker, too, from those that wait here.
     fn give_up(&mut self, out: &mut Vec<Action>) {
         let best = self.near.iter().map(|w| self.workers[*w].view.stretch).fold(f64::INFINITY, f64::min);
-        let least = if self.set.tail_misses.is_some() { SURE } else { HOPE };
-        let may = self.set.limits.cancel && self.set.tells_start;
+        let least = if self.set.tail_miss_fraction.is_some() { SURE } else { HOPE };
+        let may = self.set.limits.cancel && self.set.reports_start;
         let lost = |j: &Job| {
             let (class, t) = (&self.set.classes[j.class], j.tries.iter().rfind(|t| t.out));
             let stands = |t: &Try| may && !j.ended && !j.waiting && t.booked && t.started.is_none();
@@ -1047,7 +1080,7 @@
             let stretch = t.map_or(best, |t| self.pace(&self.workers[t.worker]).exp() * SECOND as f64);
             let (in_time, in_life) = if held { self.chances(j, stretch, 0.0) } else { (1.0, 1.0) };
             let bound = held && t.is_none() && !j.repeatable(self.now);
-            in_time.max(class.late_value * in_life) < least || bound || self.is_stranded(j)
+            in_time.max(class.late_answer_fraction * in_life) < least || bound || self.is_stranded(j)
         };
         let lost: Vec<JobId> = self.jobs.iter().filter(|j| lost(j.1)).map(|j| *j.0).collect();
         lost.into_iter().for_each(|id| self.answer(id, out));
@@ -1066,7 +1099,7 @@
         let gap = (self.tick / if self.waiting.is_empty() { 2 } else { 8 }).max(self.set.tick);
         if !self.jobs.is_empty() && self.tick_due.is_none_or(|due| due > self.now + gap) {
             self.tick_due = Some(self.now + gap);
-            out.push(Action::Timer { after: gap, token: TICK_TOKEN });
+            out.push(Action::Timer { delay: gap, token: TICK_TOKEN });
         }
     }
 }
