--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
 //! A site's settings as they stand in JSON, the same on the simulator's wire and in a dispatcher's configuration.
 
 use crate::api::{
-    Allowance, Class, Costs as Prices, Effect, KeyScope, KindId, LIST_CALL, Limits as Permits, Micros,
-    SECOND, Safety as Rules, Settings, Tenant, ZoneId,
+    Class, Costs as Prices, DEFAULT_LIST_CALL_TIME, Idempotency, KeyScope, KindId, Limits as Permits, Micros,
+    RetryBudget, SECOND, Safety as Rules, Settings, Tenant, ZoneId,
 };
 use serde::Deserialize;
 use serde::de::Deserializer;
@@ -149,13 +149,13 @@
 impl Site {
     /// Whether the numbers of classes, tenants, zones and kinds, and the figures of reports, mean the same as in another
     /// site.
-    pub fn names_as(&self, other: &Site) -> bool {
+    pub fn has_same_names_as(&self, other: &Site) -> bool {
         let names = |s: &Site| [&s.classes, &s.tenants, &s.zones, &s.kinds].map(|n| n.0.clone());
         let reports = |s: &Site| [s.slots_in, s.memory_in];
         names(self) == names(other) && reports(self) == reports(other)
     }
     /// The figures of a report that the decisions use, by what the settings say they mean.
-    pub fn gauge(&self, g: &self::Gauge) -> crate::Gauge {
+    pub fn load_report(&self, g: &self::Gauge) -> crate::LoadReport {
         let pick = |which: [bool; 2]| {
             if which[0] {
                 g.x0
@@ -165,21 +165,21 @@
                 None
             }
         };
-        crate::Gauge {
+        crate::LoadReport {
             free_slots: pick(self.slots_in),
             free_memory: pick(self.memory_in),
             delayed: true,
-            util: g.util,
-            latency: g.latency_ms.map(|ms| micros(ms / 1e3)),
+            utilization: g.util,
+            service_time: g.latency_ms.map(|ms| micros(ms / 1e3)),
         }
     }
 }
 
-fn effect(lane: &Lane) -> Result<Effect, String> {
+fn effect(lane: &Lane) -> Result<Idempotency, String> {
     Ok(match lane.effect.as_str() {
-        "safe" => Effect::Safe,
-        "unsafe" => Effect::Unsafe,
-        "keyed" => Effect::Keyed {
+        "safe" => Idempotency::Idempotent,
+        "unsafe" => Idempotency::NonIdempotent,
+        "keyed" => Idempotency::IdempotencyKey {
             scope: match lane.key_scope.as_str() {
                 "all" => KeyScope::All,
                 "zone" => KeyScope::Zone,
@@ -202,12 +202,12 @@
         let mut classes = Vec::new();
         for (i, lane) in self.lanes.iter().enumerate() {
             classes.push(Class {
-                worth: lane.worth,
-                late_value: lane.late_value,
-                promise: micros(lane.promise_s),
-                stretch: lane.aim_stretch.or(info.class_stretch.get(i).copied()).unwrap_or(0.0),
-                give_up: micros(lane.give_up_s),
-                effect: effect(lane)?,
+                priority_weight: lane.worth,
+                late_answer_fraction: lane.late_value,
+                latency_objective: micros(lane.promise_s),
+                objective_per_work: lane.aim_stretch.or(info.class_stretch.get(i).copied()).unwrap_or(0.0),
+                client_timeout: micros(lane.give_up_s),
+                idempotency: effect(lane)?,
                 streaming: lane.streaming,
                 kind: info.class_kind.get(i).and_then(|k| u16::try_from(*k).ok()).map(KindId),
             });
@@ -215,27 +215,27 @@
         let settings = Settings {
             // Who has a later number than told knows that there are more, at least.
             fleet_size: if self.fleet_size > 0 { self.fleet_size.max(self.me.saturating_add(1)) } else { 0 },
-            me: self.me,
+            instance_index: self.me,
             zone: ZoneId(zones.id(&self.zone) as u16),
             classes,
             tenants: self.parties.iter().map(|p| Tenant { quota_per_s: p.quota_per_s }).collect(),
-            counted_by_work: self.counted_by == "work",
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
-            tail_misses: self.objective_mix.miss_share.filter(|_| self.objective_mix.slow_end > 0.0),
-            must_watch: self.discovery == "subscribe",
-            lease_list: false,
-            list_call: LIST_CALL,
-            careful: false,
-            live_units: self.weight_kind == "live",
-            tells_start: info.tells_start,
-            progress: micros(info.progress_s),
+            weighted_by_work: self.counted_by == "work",
+            over_quota_weight: self.over_share_worth.unwrap_or(1.0),
+            tail_miss_fraction: self.objective_mix.miss_share.filter(|_| self.objective_mix.slow_end > 0.0),
+            watch_required: self.discovery == "subscribe",
+            list_lease_enabled: false,
+            list_call_time: DEFAULT_LIST_CALL_TIME,
+            list_unconfirmed: false,
+            units_fall_with_load: self.weight_kind == "live",
+            reports_start: info.tells_start,
+            progress_interval: micros(info.progress_s),
             tick: micros(self.tick_s),
             limits: Permits {
                 cancel: self.limits.cancel,
-                may_probe: self.limits.may_probe,
-                second_copies: self.limits.second_copies,
-                send_cap: self.limits.send_cap.unwrap_or(1),
-                conn_idle: micros(self.limits.conn_idle_s),
+                health_checks_allowed: self.limits.may_probe,
+                hedged_requests: self.limits.second_copies,
+                max_attempts: self.limits.send_cap.unwrap_or(1),
+                idle_timeout: micros(self.limits.conn_idle_s),
                 connect_timeout: micros(self.limits.connect_timeout_s),
                 max_streams: self.limits.max_streams.unwrap_or(1),
                 retry_after: self.limits.retry_after,
@@ -244,25 +244,25 @@
             costs: Prices {
                 cross_zone: self.costs.cross_zone,
                 handshake: self.costs.handshake,
-                origin: self.costs.origin,
-                waste: self.costs.waste,
-                late_fail: self.costs.late_fail,
-                probe: self.costs.probe,
+                origin_fetch: self.costs.origin,
+                wasted_work: self.costs.waste,
+                late_failure: self.costs.late_fail,
+                health_check: self.costs.probe,
             },
             safety: Rules {
-                grace_to_answer: micros(self.safety.grace_to_answer_s),
-                ask_within: micros(self.safety.ask_within_s),
-                cold_share: self.safety.cold_share.unwrap_or(1.0),
-                cold: micros(self.safety.cold_s),
-                fall_multiple: self.safety.fall_multiple.unwrap_or(1.0),
-                fall: micros(self.safety.fall_s),
-                allowance: self.safety.counted_over_s.map(|over| Allowance {
-                    floor: self.safety.extra_floor.unwrap_or(0.0),
+                answer_grace: micros(self.safety.grace_to_answer_s),
+                poll_interval: micros(self.safety.ask_within_s),
+                initial_capacity_fraction: self.safety.cold_share.unwrap_or(1.0),
+                slow_start_window: micros(self.safety.cold_s),
+                overload_multiple: self.safety.fall_multiple.unwrap_or(1.0),
+                overload_window: micros(self.safety.fall_s),
+                retry_budget: self.safety.counted_over_s.map(|over| RetryBudget {
+                    min_retries: self.safety.extra_floor.unwrap_or(0.0),
                     ratio: self.safety.repeat_ratio.unwrap_or(0.0),
                     window: micros(over),
                 }),
-                close_within: self.safety.release_within_s.map(micros),
-                full_unproven: self.safety.full_unproven,
+                drain_close_timeout: self.safety.release_within_s.map(micros),
+                rejection_may_have_run: self.safety.full_unproven,
             },
         };
         let means = |text: &str| [info.report_x0.contains(text), info.report_x1.contains(text)];
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,7 @@
 use crate::api::*;
 use crate::rules::{POOL_WEIGHT, WATCH_TOKEN};
 use roselock_discovery_client::lease::ListLease;
-use roselock_discovery_client::poll_schedule::{GOLDEN, Pace};
+use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, PollSchedule};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Look-ahead of the prices, in ticks: longer runs are priced as if they ended there.
@@ -37,7 +37,7 @@
 /// The lease on the list of workers at the start.
 fn lease(set: &Settings) -> ListLease {
     let connect = set.limits.connect_timeout;
-    match (set.lease_list, set.careful) {
+    match (set.list_lease_enabled, set.list_unconfirmed) {
         (false, _) => ListLease::unlimited(),
         (true, false) => ListLease::unconfirmed(connect),
         (true, true) => ListLease::trusted(connect),
@@ -51,7 +51,7 @@
 pub(crate) struct Job {
     pub(crate) class: usize,
     /// What its class said of repeats when it came: new settings are for those that come after them.
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     pub(crate) lane: Lane,
     pub(crate) need: [f64; 2],
     /// Expected work in seconds at speed 1, and whether a hint says so.
@@ -75,7 +75,7 @@
 }
 
 impl Job {
-    pub(crate) fn new(new: &JobIn, hint: Option<f64>, now: Micros) -> Job {
+    pub(crate) fn new(new: &JobRequest, hint: Option<f64>, now: Micros) -> Job {
         Job {
             class: new.class.0 as usize,
             lane: (new.tenant, new.class),
@@ -91,9 +91,9 @@
     pub(crate) fn repeatable(&self, now: Micros) -> bool {
         let first = self.tries.iter().find(|t| !t.never_ran);
         match self.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => first.is_none(),
-            Effect::Keyed { window, .. } => first.is_none_or(|t| now - t.sent < window),
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => first.is_none(),
+            Idempotency::IdempotencyKey { window, .. } => first.is_none_or(|t| now - t.sent < window),
         }
     }
     pub(crate) fn any_out(&self) -> bool {
@@ -151,7 +151,7 @@
 /// a machine their memory is cold, and a large fleet is walked at each pass.
 #[repr(C)]
 pub(crate) struct Worker {
-    pub(crate) listed: FleetEntry,
+    pub(crate) listed: Endpoint,
     /// When its process started, by our own clock; none: long ago.
     pub(crate) started: Option<Micros>,
     pub(crate) ready: bool,
@@ -227,12 +227,12 @@
         self.recent.iter().filter(|s| s.0 >= at).map(|s| s.1).sum()
     }
 
-    pub(crate) fn new(e: &FleetEntry, room: [f64; 2], price: Lanes, now: Micros) -> Worker {
+    pub(crate) fn new(e: &Endpoint, room: [f64; 2], price: Lanes, now: Micros) -> Worker {
         let mut worker = Worker {
             listed: e.clone(),
-            started: e.up_since.map(|up| up.min(now)),
+            started: e.started_at.map(|up| up.min(now)),
             size: e.units,
-            ready: e.state == Listed::Ready,
+            ready: e.state == EndpointState::Ready,
             own: [0.0; 2],
             running: [0.0; 2],
             past: VecDeque::new(),
@@ -412,7 +412,7 @@
         }
         a == 1
     };
-    let step = (((all as f64 * GOLDEN) as u64).max(1)..=all).find(|s| prime(*s)).unwrap_or(1);
+    let step = (((all as f64 * GOLDEN_RATIO) as u64).max(1)..=all).find(|s| prime(*s)).unwrap_or(1);
     me % all * step % all
 }
 
@@ -472,7 +472,7 @@
     /// Our seat in an order of all schedulers; it follows from the settings.
     pub(crate) seat: u64,
     /// When discovery is called.
-    pub(crate) calls: Pace,
+    pub(crate) calls: PollSchedule,
     /// How long the list may be acted on.
     pub(crate) lease: ListLease,
     /// Discovery has told what it knows: a start that it tells of from now on is a new one.
@@ -482,7 +482,7 @@
     /// The quickest start of a job in each zone.
     pub(crate) quickest: BTreeMap<ZoneId, Micros>,
     /// Workers out by hand, with what the list said of them last, if it named them.
-    pub(crate) suspended: BTreeMap<WorkerId, Option<Listed>>,
+    pub(crate) suspended: BTreeMap<WorkerId, Option<EndpointState>>,
 }
 
 impl Dispatcher {
@@ -531,12 +531,12 @@
             swept: 0,
             tick_due: None,
             best_success: 1.0,
-            seat: seat(set.me, set.fleet_size),
-            calls: Pace::new(set.list_call),
+            seat: seat(set.instance_index, set.fleet_size),
+            calls: PollSchedule::new(set.list_call_time),
             lease: lease(&set),
             in_step: false,
             // Where nobody is asked, nobody ever confirms.
-            careful: set.careful && set.must_watch,
+            careful: set.list_unconfirmed && set.watch_required,
             quickest: BTreeMap::new(),
             suspended: BTreeMap::new(),
             set,
@@ -546,23 +546,23 @@
     /// Takes news of the workers: the list, or one taken out by hand or given back.
     pub(crate) fn listed(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Fleet { mode, entries } => {
-                if *mode != ListMode::Known {
+            Event::EndpointList { mode, endpoints } => {
+                if *mode != ListMode::Cached {
                     self.heard_of_discovery();
                 }
-                self.heed(*mode, entries, out);
-                self.in_step |= *mode != ListMode::Known;
+                self.heed(*mode, endpoints, out);
+                self.in_step |= *mode != ListMode::Cached;
             }
             Event::WatchEnded(end) => self.watch_ended(*end, out),
-            Event::ListMoved(at) => self.lease.moved(*at),
-            Event::Suspend { worker, out: by_hand } => self.suspend(*worker, *by_hand, out),
+            Event::DiscoveryMoved(at) => self.lease.discovery_moved(*at),
+            Event::SuspensionChanged { worker, suspended: by_hand } => self.suspend(*worker, *by_hand, out),
             _ => {}
         }
     }
 
     fn heard_of_discovery(&mut self) {
-        self.lease.renewed();
-        if self.calls.answered(self.now) && std::mem::take(&mut self.careful) {
+        self.lease.renew();
+        if self.calls.record_answer(self.now) && std::mem::take(&mut self.careful) {
             // Who is in doubt only for the age of the list is so no longer.
             let new = |w: &&mut Worker| w.doubt_pause == 0;
             self.workers.iter_mut().filter(new).for_each(|w| (w.doubt, w.news) = (None, true));
@@ -571,9 +571,10 @@
 
     /// Asks anew, more slowly so as not to crowd discovery, but within the time that binds us.
     fn watch_ended(&mut self, end: WatchEnd, out: &mut Vec<Action>) {
-        let after = self.calls.ended(self.now, self.set.round(), self.rng.rand_float(), end);
+        let after =
+            self.calls.delay_after_end(self.now, self.set.poll_parameters(), self.rng.rand_float(), end);
         self.lease.watch_ended(end, self.now + after);
-        out.push(Action::Timer { after, token: WATCH_TOKEN });
+        out.push(Action::Timer { delay: after, token: WATCH_TOKEN });
     }
 
     /// When a process started that the list tells of anew, by our own clock. Clocks may be stepped, its machine's, the list's
@@ -583,17 +584,17 @@
         if !self.in_step {
             return told.map(|up| up.min(self.now));
         }
-        let since = self.lease.in_step_at(self.now);
+        let since = self.lease.in_sync_at(self.now);
         Some(told.filter(|up| (since..=self.now).contains(up)).unwrap_or(self.now))
     }
 
     /// Whether the list of workers may be acted on: nothing is sent while it may not.
-    pub fn list_holds(&self) -> bool {
-        self.lease.holds(self.now)
+    pub fn list_is_valid(&self) -> bool {
+        self.lease.is_valid(self.now)
     }
 
     /// Reads lines of the list through the workers out by hand: those are draining, whatever the list says.
-    fn heed(&mut self, mode: ListMode, entries: &[FleetEntry], out: &mut Vec<Action>) {
+    fn heed(&mut self, mode: ListMode, entries: &[Endpoint], out: &mut Vec<Action>) {
         if self.suspended.is_empty() {
             return self.fleet(mode, entries, out);
         }
@@ -601,7 +602,7 @@
         for e in &mut heeded {
             if let Some(said) = self.suspended.get_mut(&e.worker) {
                 *said = Some(e.state);
-                e.state = if e.state == Listed::Ready { Listed::Draining } else { e.state };
+                e.state = if e.state == EndpointState::Ready { EndpointState::Draining } else { e.state };
             }
         }
         self.fleet(mode, &heeded, out);
@@ -625,7 +626,7 @@
     }
 
     /// Whether the decisions avoid a worker now: by hand, or because it erred or fell silent of late.
-    pub fn avoids(&self, worker: WorkerId) -> bool {
+    pub fn is_avoided(&self, worker: WorkerId) -> bool {
         let Some(&w) = self.index.get(&worker) else { return self.suspended.contains_key(&worker) };
         let (w, now) = (&self.workers[w], self.now);
         let later = |until: Option<Micros>| until.is_some_and(|until| until > now);
@@ -633,14 +634,14 @@
     }
 
     /// Takes new settings in the place of the old ones; classes and tenants must be as many.
-    pub fn retell(&mut self, set: &Settings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, set: &Settings) -> Result<(), SettingsError> {
         set.check()?;
         let sizes = |s: &Settings| (s.classes.len(), s.tenants.len());
         if sizes(set) != sizes(&self.set) {
             let problem = "must be as many as before";
             return Err(SettingsError { field: "classes and tenants".to_owned(), problem });
         }
-        (self.set, self.seat) = (set.clone(), seat(set.me, set.fleet_size));
+        (self.set, self.seat) = (set.clone(), seat(set.instance_index, set.fleet_size));
         self.lease.set_connect_timeout(set.limits.connect_timeout);
         Ok(())
     }
