--- a/dispatcher/src/core/event_loop.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -380,8 +380,8 @@
                 self.fleets[fleet].events.push(Event::ClientDisconnected(JobId(id)));
                 self.forget(id);
             }
-            Input::Upstream(id, heard, link) => self.heard(id, heard, link),
-            Input::CallBack(call, from, told, gauge, body) => {
+            Input::Upstream { id, event: heard, connection: link } => self.heard(id, heard, link),
+            Input::CallBack { id: call, from, event: told, report: gauge, body } => {
                 if !self.calls.contains_key(&call)
                     && let (Some(relay), Some(body)) = (&self.relay, body)
                 {
@@ -389,30 +389,30 @@
                 }
                 self.called_back(&call, &from, told, gauge);
             }
-            Input::Hosts(fleet, mode, hosts) => {
+            Input::Hosts { fleet, mode, hosts } => {
                 self.confirmed(fleet);
                 self.list(fleet, mode, hosts);
             }
-            Input::Room(fleet, worker, free) => {
+            Input::Room { fleet, worker, free_slots: free } => {
                 let gauge = LoadReport { free_slots: Some(free), ..LoadReport::default() };
                 self.fleets[fleet].events.push(Event::HealthCheckEnded { worker, ok: true, report: gauge });
             }
-            Input::Fleet(fleet, set, seed) => {
+            Input::Fleet { fleet, settings: set, seed } => {
                 assert_eq!(fleet, self.fleets.len(), "fleets come in the order of their numbers");
                 self.add_fleet(*set, seed, None).expect("checked by whoever made it");
             }
             Input::Feed => {}
-            Input::WatchEnded(fleet, end) => {
+            Input::WatchEnded { fleet, end } => {
                 self.start.record_watch_end();
                 self.operation.figures.start(&self.start, None);
                 self.fleets[fleet].events.push(Event::WatchEnded(end));
             }
-            Input::DialLimits(fleet, limits) => {
+            Input::DialLimits { fleet, limits } => {
                 // Whether there are limits is settled at the start.
                 self.fleets[fleet].dial_limits.iter_mut().for_each(|present| *present = limits);
             }
-            Input::ListMoved(fleet, at) => self.fleets[fleet].events.push(Event::DiscoveryMoved(at)),
-            Input::Settings(fleet, set) => {
+            Input::ListMoved { fleet, at } => self.fleets[fleet].events.push(Event::DiscoveryMoved(at)),
+            Input::Settings { fleet, settings: set } => {
                 let fleet = &mut self.fleets[fleet];
                 match fleet.dispatcher.update_settings(&set) {
                     Ok(()) => {
--- a/dispatcher/src/core/event_loop/attempts.rs
+++ b/dispatcher/src/core/event_loop/attempts.rs
@@ -20,12 +20,13 @@
         if let Some(idle) = kept {
             let (trust, now) = (&mut self.fleets[fleet].trust, clock::now());
             match heard {
-                Heard::Ended(Outcome::Reset, ..) | Heard::Broken => trust.broke(idle, now),
-                Heard::Taken | Heard::Ended(..) | Heard::Probed(..) => trust.worked(idle, now),
+                Heard::Ended { outcome: Outcome::Reset, .. } | Heard::Broken => trust.broke(idle, now),
+                Heard::Taken | Heard::Ended { .. } | Heard::Probed { .. } => trust.worked(idle, now),
                 _ => {}
             }
         }
-        if kept.is_none() && matches!(heard, Heard::Taken | Heard::Probed(true, _) | Heard::Withdrawn) {
+        if kept.is_none() && matches!(heard, Heard::Taken | Heard::Probed { ok: true, .. } | Heard::Withdrawn)
+        {
             self.fleets[fleet].hosts.get_mut(&host).iter_mut().for_each(|h| h.dial_limiter.record_accepted());
         }
         let Some(up) = self.upstreams.get_mut(&id) else { return };
@@ -64,18 +65,18 @@
                 }
             }
             Heard::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
-            Heard::Said(saying, bytes) => {
+            Heard::Said { kind: saying, bytes } => {
                 let stream =
                     self.upstreams.get(&id).filter(|u| !u.ended).and_then(|u| self.streams.get(&u.stream));
                 stream.iter().for_each(|s| s.downstream.say(saying, &bytes));
             }
-            Heard::Ended(outcome, gauge, body) => {
+            Heard::Ended { outcome, report: gauge, body } => {
                 if outcome == Outcome::Reset {
                     self.unsettled(id);
                 }
                 self.end(id, outcome, gauge, body);
             }
-            Heard::Probed(ok, gauge) => {
+            Heard::Probed { ok, report: gauge } => {
                 self.fleets[fleet].events.push(Event::HealthCheckEnded { worker: host, ok, report: gauge });
             }
             Heard::Withdrawn => {
@@ -95,7 +96,7 @@
                 Some(Ask::Probe) => self.probe_failed(fleet, host),
                 _ => {}
             },
-            Heard::ConnectionRejected(written) => self.connection_rejected(id, written),
+            Heard::ConnectionRejected { request_written: written } => self.connection_rejected(id, written),
             Heard::Nothing => {}
         }
         self.retry_withdrawal(id);
--- a/dispatcher/src/core/event_loop/hosts.rs
+++ b/dispatcher/src/core/event_loop/hosts.rs
@@ -13,7 +13,11 @@
             for id in unseen {
                 self.heard(
                     id,
-                    Heard::Ended(Outcome::ConnectFailed, LoadReport::default(), Vec::new()),
+                    Heard::Ended {
+                        outcome: Outcome::ConnectFailed,
+                        report: LoadReport::default(),
+                        body: Vec::new(),
+                    },
                     LinkIs::Closed,
                 );
             }
--- a/dispatcher/src/core/mod.rs
+++ b/dispatcher/src/core/mod.rs
@@ -256,17 +256,37 @@
     /// This share of it is done.
     Progress(f64),
     /// The host says something of it.
-    Said(Saying, Vec<u8>),
+    Said {
+        /// Of what kind it is.
+        kind: Saying,
+        /// The bytes.
+        bytes: Vec<u8>,
+    },
     /// It ended.
-    Ended(Outcome, LoadReport, Vec<u8>),
+    Ended {
+        /// How.
+        outcome: Outcome,
+        /// The host's load report.
+        report: LoadReport,
+        /// The result.
+        body: Vec<u8>,
+    },
     /// A probe's answer.
-    Probed(bool, LoadReport),
+    Probed {
+        /// The host is well.
+        ok: bool,
+        /// Its load report.
+        report: LoadReport,
+    },
     /// The host has answered a withdrawal.
     Withdrawn,
     /// The connection ended under a probe or a withdrawal.
     Broken,
-    /// The host has rejected a new connection: closed it at once, without a byte; whether something was written.
-    ConnectionRejected(bool),
+    /// The host has rejected a new connection: closed it at once, without a byte.
+    ConnectionRejected {
+        /// Some of the request had been written by then.
+        request_written: bool,
+    },
     /// Nothing of note.
     Nothing,
 }
@@ -312,26 +332,84 @@
     /// Its client left.
     Left(StreamId),
     /// News of an upstream request.
-    Upstream(UpstreamId, Heard, LinkIs),
-    /// A call-back: the client's id, who tells it, and what; and its body, where it may be passed on to the other
-    /// process of an upgrade if its stream is not here.
-    CallBack(String, String, Told, LoadReport, Option<Vec<u8>>),
+    Upstream {
+        /// The upstream request.
+        id: UpstreamId,
+        /// What happened.
+        event: Heard,
+        /// The state of its connection after that.
+        connection: LinkIs,
+    },
+    /// A callback of an upstream host.
+    CallBack {
+        /// The client's id of the job.
+        id: String,
+        /// The name of the host that sent it.
+        from: String,
+        /// What happened.
+        event: Told,
+        /// The host's load report.
+        report: LoadReport,
+        /// Its body as received, where it may be forwarded to the other process of an upgrade.
+        body: Option<Vec<u8>>,
+    },
     /// News of the hosts.
-    Hosts(FleetId, ListMode, Vec<ListedHost>),
+    Hosts {
+        /// The fleet.
+        fleet: FleetId,
+        /// How to read the list.
+        mode: ListMode,
+        /// The hosts.
+        hosts: Vec<ListedHost>,
+    },
     /// A host that came to us has so many hands free, by what it does elsewhere.
-    Room(FleetId, WorkerId, f64),
+    Room {
+        /// The fleet.
+        fleet: FleetId,
+        /// The worker.
+        worker: WorkerId,
+        /// Its free slots.
+        free_slots: f64,
+    },
     /// A new fleet, with settings and a seed.
-    Fleet(FleetId, Box<Settings>, u64),
+    Fleet {
+        /// Its number: the next one that is free.
+        fleet: FleetId,
+        /// The settings of its decisions.
+        settings: Box<Settings>,
+        /// The seed of its random numbers.
+        seed: u64,
+    },
     /// A feed may have something.
     Feed,
     /// The watch on the hosts, or a call for one, ended.
-    WatchEnded(FleetId, WatchEnd),
+    WatchEnded {
+        /// The fleet.
+        fleet: FleetId,
+        /// How it ended.
+        end: WatchEnd,
+    },
     /// The list service was moved at that time.
-    ListMoved(FleetId, Micros),
+    ListMoved {
+        /// The fleet.
+        fleet: FleetId,
+        /// When.
+        at: Micros,
+    },
     /// New settings of the decisions, for the same names.
-    Settings(FleetId, Box<Settings>),
+    Settings {
+        /// The fleet.
+        fleet: FleetId,
+        /// The settings.
+        settings: Box<Settings>,
+    },
     /// New limits of connections to the workers of a fleet that has such limits.
-    DialLimits(FleetId, DialLimits),
+    DialLimits {
+        /// The fleet.
+        fleet: FleetId,
+        /// The limits.
+        limits: DialLimits,
+    },
     /// Finish what is owed, then stop.
     Stop,
 }
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -183,8 +183,11 @@
         }
         if same {
             *running = new.site.clone();
-            self.inbox.post(Input::Settings(self.fleet, Box::new(new.site.settings.clone())));
-            new.dial_limits.into_iter().for_each(|l| self.inbox.post(Input::DialLimits(self.fleet, l)));
+            self.inbox
+                .post(Input::Settings { fleet: self.fleet, settings: Box::new(new.site.settings.clone()) });
+            new.dial_limits
+                .into_iter()
+                .for_each(|l| self.inbox.post(Input::DialLimits { fleet: self.fleet, limits: l }));
             self.registry.set_pushed(!new.site.settings.watch_required);
         } else {
             tracing::warn!(
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -40,6 +40,12 @@
     };
     let gauge = c.load.map(|l| site.load_report(&l)).unwrap_or_default();
     let body = relayed.then(|| body.to_vec());
-    inbox.post(Input::CallBack(c.id.into_owned(), c.from.into_owned(), told, gauge, body));
+    inbox.post(Input::CallBack {
+        id: c.id.into_owned(),
+        from: c.from.into_owned(),
+        event: told,
+        report: gauge,
+        body,
+    });
     true
 }
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -141,7 +141,7 @@
                     break end;
                 }
             };
-            self.inbox.post(Input::WatchEnded(self.fleet, end));
+            self.inbox.post(Input::WatchEnded { fleet: self.fleet, end });
             if self.registry.pushed() {
                 may::coroutine::sleep(PUSHED);
             }
@@ -152,7 +152,7 @@
     /// move at once. Should its versions be others, that tells too little: the whole list follows later, for each
     /// dispatcher at a place of its own.
     fn moved(&mut self, moved_at: Micros) {
-        self.inbox.post(Input::ListMoved(self.fleet, moved_at));
+        self.inbox.post(Input::ListMoved { fleet: self.fleet, at: moved_at });
         // Versions there may be others.
         self.history = ListHistory::default();
         let place = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
@@ -275,7 +275,7 @@
     /// A word on the watch, and no part of another. The first one says that nothing is missing, be it an empty line.
     fn heard(&mut self) {
         if self.progress.word.replace(clock::now()).is_none() {
-            self.inbox.post(Input::Hosts(self.fleet, ListMode::Changes, Vec::new()));
+            self.inbox.post(Input::Hosts { fleet: self.fleet, mode: ListMode::Changes, hosts: Vec::new() });
         }
     }
 
@@ -303,7 +303,7 @@
         self.history.admit(&mut list);
         let mode = if list.all { ListMode::Complete } else { ListMode::Changes };
         let hosts = hosts(&list, &mut self.site);
-        self.inbox.post(Input::Hosts(self.fleet, mode, hosts));
+        self.inbox.post(Input::Hosts { fleet: self.fleet, mode, hosts });
         Ok(())
     }
 }
--- a/dispatcher/src/wire/gearman/reload.rs
+++ b/dispatcher/src/wire/gearman/reload.rs
@@ -45,7 +45,7 @@
             *next_fleet += 1;
             let set = file::settings(&self.site.load(), &self.file.load());
             let seed = self.seed ^ fnv(function.name.as_bytes());
-            self.inbox.post(Input::Fleet(function.fleet, Box::new(set), seed));
+            self.inbox.post(Input::Fleet { fleet: function.fleet, settings: Box::new(set), seed });
         }
         let mut jobs = lock(&self.jobs);
         let f = jobs.backlog.add(function.queue.clone());
@@ -95,7 +95,7 @@
         let registry = self.functions();
         for function in registry.all.iter().filter(|f| f.by_workers()) {
             let set = file::settings(&self.site.load(), &self.file.load());
-            self.inbox.post(Input::Settings(function.fleet, Box::new(set)));
+            self.inbox.post(Input::Settings { fleet: function.fleet, settings: Box::new(set) });
         }
         for (f, function) in registry.all.iter().enumerate() {
             if !open && !named.contains(&function.name) {
--- a/dispatcher/src/wire/gearman/worker.rs
+++ b/dispatcher/src/wire/gearman/worker.rs
@@ -78,7 +78,11 @@
 pub fn never_ran(front: &Gearman, id: UpstreamId, gone: bool) {
     let (outcome, link) =
         if gone { (Outcome::ConnectFailed, LinkIs::Closed) } else { (Outcome::Rejected, LinkIs::Free) };
-    front.inbox.post(Input::Upstream(id, Heard::Ended(outcome, report(), Vec::new()), link));
+    front.inbox.post(Input::Upstream {
+        id,
+        event: Heard::Ended { outcome, report: report(), body: Vec::new() },
+        connection: link,
+    });
 }
 
 /// What an attempt's end says of its worker: while it ran, nothing else fitted.
@@ -152,7 +156,11 @@
             let worker = self.worker_id();
             let own = old.engaged.or(new.engaged);
             for f in new.able.iter().filter(|f| Some(**f) != own) {
-                front.inbox.post(Input::Room(registry.all[*f].fleet, worker, new.fit as u8 as f64));
+                front.inbox.post(Input::Room {
+                    fleet: registry.all[*f].fleet,
+                    worker,
+                    free_slots: new.fit as u8 as f64,
+                });
             }
         }
         front.wake_owner(nudge);
@@ -173,7 +181,7 @@
         let link = (state != EndpointState::Gone).then(|| Arc::new(link) as Arc<dyn Link>);
         let host = ListedHost { uid: self.uid(), endpoint: None, entry, link };
         let fleet = front.functions.load().all[function].fleet;
-        front.inbox.post(Input::Hosts(fleet, ListMode::Changes, vec![host]));
+        front.inbox.post(Input::Hosts { fleet, mode: ListMode::Changes, hosts: vec![host] });
     }
 
     /// It takes a function from now on: as a host that has just started, the first time.
@@ -192,7 +200,11 @@
         self.list(front, f, EndpointState::Ready);
         let busy = lock(&self.worker).is_engaged();
         let fleet = front.functions.load().all[f].fleet;
-        front.inbox.post(Input::Room(fleet, self.worker_id(), if busy { 0.0 } else { 1.0 }));
+        front.inbox.post(Input::Room {
+            fleet,
+            worker: self.worker_id(),
+            free_slots: if busy { 0.0 } else { 1.0 },
+        });
         None
     }
 
@@ -289,7 +301,7 @@
             return (!waits).then(|| reply(Kind::NoJob, &[]));
         };
         lock(&self.worker).running_mut(&handle(id)).into_iter().for_each(|held| held.grabbed = now);
-        front.inbox.post(Input::Upstream(id, Heard::Started, LinkIs::Busy));
+        front.inbox.post(Input::Upstream { id, event: Heard::Started, connection: LinkIs::Busy });
         let registry = front.functions.load();
         let name =
             registry.find(p.part(&p.method)).map_or(p.part(&p.method), |f| registry.all[f].name.as_bytes());
@@ -322,20 +334,24 @@
                 let share = if of > 0 { done as f64 / of as f64 } else { 0.0 };
                 (handle, Heard::Progress(share.clamp(0.0, 1.0)))
             }
-            Packet::WorkData { handle, data } => (handle, Heard::Said(Saying::Data, data.to_vec())),
-            Packet::WorkWarning { handle, data } => (handle, Heard::Said(Saying::Warning, data.to_vec())),
+            Packet::WorkData { handle, data } => {
+                (handle, Heard::Said { kind: Saying::Data, bytes: data.to_vec() })
+            }
+            Packet::WorkWarning { handle, data } => {
+                (handle, Heard::Said { kind: Saying::Warning, bytes: data.to_vec() })
+            }
             _ => return None,
         };
         let (id, _) = self.running(name)?;
-        front.inbox.post(Input::Upstream(id, heard, LinkIs::Busy));
+        front.inbox.post(Input::Upstream { id, event: heard, connection: LinkIs::Busy });
         None
     }
 
     /// It says why its job will fail; it ends with the failure that follows.
     pub fn exception(&self, front: &Gearman, name: &[u8], why: &[u8]) -> Option<Vec<u8>> {
         let (id, _) = self.running(name)?;
-        let said = Heard::Said(Saying::Exception, why.to_vec());
-        front.inbox.post(Input::Upstream(id, said, LinkIs::Busy));
+        let said = Heard::Said { kind: Saying::Exception, bytes: why.to_vec() };
+        front.inbox.post(Input::Upstream { id, event: said, connection: LinkIs::Busy });
         None
     }
 
@@ -355,20 +371,20 @@
             held.job_no().filter(|_| result.is_none()).into_iter().for_each(|no| jobs.backlog.set_failed(no));
         }
         let heard = match result {
-            Some(data) => Heard::Ended(Outcome::Ok, report(), data.to_vec()),
-            None => Heard::Ended(Outcome::Error, report(), Vec::new()),
+            Some(data) => Heard::Ended { outcome: Outcome::Ok, report: report(), body: data.to_vec() },
+            None => Heard::Ended { outcome: Outcome::Error, report: report(), body: Vec::new() },
         };
-        front.inbox.post(Input::Upstream(held.id, heard, LinkIs::Free));
+        front.inbox.post(Input::Upstream { id: held.id, event: heard, connection: LinkIs::Free });
         None
     }
 
     /// Its result does not fit: the job fails, and its hands are free.
     pub fn result_too_large(&self, front: &Gearman) {
         let Some(held) = self.change(front, |w| w.drop_job()) else { return };
-        let said = Heard::Said(Saying::Exception, b"the result is too large".to_vec());
-        front.inbox.post(Input::Upstream(held.id, said, LinkIs::Busy));
-        let failed = Heard::Ended(Outcome::Error, report(), Vec::new());
-        front.inbox.post(Input::Upstream(held.id, failed, LinkIs::Free));
+        let said = Heard::Said { kind: Saying::Exception, bytes: b"the result is too large".to_vec() };
+        front.inbox.post(Input::Upstream { id: held.id, event: said, connection: LinkIs::Busy });
+        let failed = Heard::Ended { outcome: Outcome::Error, report: report(), body: Vec::new() };
+        front.inbox.post(Input::Upstream { id: held.id, event: failed, connection: LinkIs::Free });
     }
 
     /// A time of it has come: it did not ask for the job that was chosen for it, or did not end the one that it has.
@@ -393,8 +409,9 @@
         let (able, chosen, runs) = self.change(front, |w| w.leave());
         chosen.into_iter().for_each(|held| never_ran(front, held.id, true));
         if let Some(held) = runs {
-            let lost = Heard::Ended(Outcome::Reset, LoadReport::default(), Vec::new());
-            front.inbox.post(Input::Upstream(held.id, lost, LinkIs::Closed));
+            let lost =
+                Heard::Ended { outcome: Outcome::Reset, report: LoadReport::default(), body: Vec::new() };
+            front.inbox.post(Input::Upstream { id: held.id, event: lost, connection: LinkIs::Closed });
         }
         able.into_iter().for_each(|f| self.list(front, f, EndpointState::Gone));
     }
@@ -402,6 +419,6 @@
 
 /// An attempt that its worker has was given up: it may have run.
 fn late(front: &Gearman, id: UpstreamId) {
-    let ended = Heard::Ended(Outcome::Timeout, report(), Vec::new());
-    front.inbox.post(Input::Upstream(id, ended, LinkIs::Free));
+    let ended = Heard::Ended { outcome: Outcome::Timeout, report: report(), body: Vec::new() };
+    front.inbox.post(Input::Upstream { id, event: ended, connection: LinkIs::Free });
 }
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -114,7 +114,7 @@
         let mut next = Some(first);
         while let Some(request) = next {
             let (heard, link) = self.exchange(&request);
-            self.inbox.post(Input::Upstream(request.id, heard, link));
+            self.inbox.post(Input::Upstream { id: request.id, event: heard, connection: link });
             if link == LinkIs::Closed {
                 return;
             }
@@ -125,13 +125,15 @@
     /// One upstream request, from its first byte to the host's answer.
     fn exchange(&mut self, request: &UpstreamRequest) -> (Heard, LinkIs) {
         let unsent = |outcome| match request.ask {
-            Ask::Run(_) => Heard::Ended(outcome, LoadReport::default(), Vec::new()),
-            Ask::Probe => Heard::Probed(false, LoadReport::default()),
+            Ask::Run(_) => Heard::Ended { outcome, report: LoadReport::default(), body: Vec::new() },
+            Ask::Probe => Heard::Probed { ok: false, report: LoadReport::default() },
             Ask::Withdraw(_) => Heard::Nothing,
             Ask::Preconnect => Heard::Broken,
         };
         let broken = match request.ask {
-            Ask::Run(_) => Heard::Ended(Outcome::Reset, LoadReport::default(), Vec::new()),
+            Ask::Run(_) => {
+                Heard::Ended { outcome: Outcome::Reset, report: LoadReport::default(), body: Vec::new() }
+            }
             _ => Heard::Broken,
         };
         // An idle connection that the host has closed is replaced while nothing is written; one that was ended
@@ -159,18 +161,18 @@
         if matches!(request.ask, Ask::Preconnect) {
             return match reader.response(by(IMMEDIATE_CLOSE)) {
                 Err(Bad::Late) => (Heard::Nothing, LinkIs::Free),
-                _ => (Heard::ConnectionRejected(false), LinkIs::Closed),
+                _ => (Heard::ConnectionRejected { request_written: false }, LinkIs::Closed),
             };
         }
         if opened.is_some() && !socket.is_quiet() {
-            return (Heard::ConnectionRejected(false), LinkIs::Closed);
+            return (Heard::ConnectionRejected { request_written: false }, LinkIs::Closed);
         }
         if late() {
             return (unsent(Outcome::NotStarted), LinkIs::Closed);
         }
         if write(socket, &self.state, self.endpoint, request).is_err() {
             let heard = if closed_at_once(clock::now()) {
-                Heard::ConnectionRejected(false)
+                Heard::ConnectionRejected { request_written: false }
             } else {
                 unsent(Outcome::ConnectFailed)
             };
@@ -186,7 +188,7 @@
             // The owner ends the attempt at its deadline; till then no word is no outcome.
             Err(Bad::Late) => (Heard::Nothing, LinkIs::Closed),
             Err(_) if closed_at_once(clock::now()) && reader.is_empty() => {
-                (Heard::ConnectionRejected(true), LinkIs::Closed)
+                (Heard::ConnectionRejected { request_written: true }, LinkIs::Closed)
             }
             Err(_) => (broken, LinkIs::Closed),
         }
@@ -312,15 +314,17 @@
         Ask::Probe => {
             let body = std::str::from_utf8(answer.body()).ok().and_then(http::load_report);
             let gauge = report.or(body).map(|g| site.load_report(&g)).unwrap_or_default();
-            Heard::Probed(answer.status == 200, gauge)
+            Heard::Probed { ok: answer.status == 200, report: gauge }
         }
         Ask::Run(_) => {
             let gauge = report.map(|g| site.load_report(&g)).unwrap_or_default();
             let rejected = answer.value("x-rejected") == Some("1");
             match answer.status {
                 202 => Heard::Taken,
-                503 | 504 if rejected => Heard::Ended(Outcome::Rejected, gauge, Vec::new()),
-                _ => Heard::Ended(Outcome::Error, gauge, Vec::new()),
+                503 | 504 if rejected => {
+                    Heard::Ended { outcome: Outcome::Rejected, report: gauge, body: Vec::new() }
+                }
+                _ => Heard::Ended { outcome: Outcome::Error, report: gauge, body: Vec::new() },
             }
         }
     }
