--- a/dispatcher/src/core/event_loop.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::sync::mpsc::RecvTimeoutError;
 
-pub use administration::Operation;
+pub use administration::AdminState;
 use control_requests::UnsentWithdrawal;
 
 /// After the deadline, a stream that the decisions have not answered is answered here.
@@ -44,7 +44,7 @@
     uid: String,
     endpoint: Option<SocketAddr>,
     pool: Pool,
-    link: Option<Arc<dyn Link>>,
+    link: Option<Arc<dyn UpstreamConnection>>,
     entry: Endpoint,
     /// When it may be dialled, attempts that wait for a connection to it, and whether one is opened ahead for them.
     dial_limiter: DialLimiter,
@@ -107,11 +107,11 @@
     round: u32,
     /// When it was sent.
     sent: Micros,
-    link: Option<Arc<dyn Link>>,
+    link: Option<Arc<dyn UpstreamConnection>>,
     /// How long its connection had idled, if it is a kept one.
     idle: Option<Micros>,
     /// What it asks for, if it is no attempt.
-    control: Option<Ask>,
+    control: Option<RequestKind>,
     /// The host has said that it has it.
     taken: bool,
     /// Its verdict is given, or none is owed.
@@ -197,14 +197,14 @@
     swept: Micros,
     arrived: Micros,
     flows: Option<Box<dyn FlowSink>>,
-    feeds: Vec<Box<dyn Feed>>,
+    job_sources: Vec<Box<dyn JobSource>>,
     /// The fleet that steps first: they take turns.
     turn: usize,
     /// The figures and the workers out by hand; the change of those last told, the workers out, and when the
     /// figures of the list were last set.
-    operation: Operation,
+    admin: AdminState,
     /// Where call-backs of streams that are not here go, where another process may have them.
-    relay: Option<Box<dyn Relay>>,
+    relay: Option<Box<dyn CallbackRelay>>,
     suspensions_seen: u64,
     told: BTreeSet<WorkerId>,
     published: Micros,
@@ -220,7 +220,7 @@
         inbox: Inbox,
         outlet: Receiver<Input>,
         flows: Option<Box<dyn FlowSink>>,
-        operation: Operation,
+        operation: AdminState,
     ) -> Core {
         let now = clock::now();
         Core {
@@ -241,9 +241,9 @@
             swept: now,
             arrived: now,
             flows,
-            feeds: Vec::new(),
+            job_sources: Vec::new(),
             turn: 0,
-            operation,
+            admin: operation,
             relay: None,
             suspensions_seen: 0,
             told: Default::default(),
@@ -254,20 +254,20 @@
     }
 
     /// Takes the list that the process came up with, as of before its start.
-    pub fn came_up_with(&mut self, fleet: FleetId, hosts: Vec<ListedHost>) {
+    pub fn seed_known_hosts(&mut self, fleet: FleetId, hosts: Vec<ListedHost>) {
         self.start = StartupProgress::new(clock::now(), !hosts.is_empty());
-        self.operation.figures.start(&self.start, None);
+        self.admin.metrics.start(&self.start, None);
         self.list(fleet, ListMode::Cached, hosts);
     }
 
     /// Passes call-backs of streams that are not here to the other process of an upgrade.
-    pub fn set_relay(&mut self, relay: Box<dyn Relay>) {
+    pub fn set_relay(&mut self, relay: Box<dyn CallbackRelay>) {
         self.relay = Some(relay);
     }
 
     /// Adds streams that wait elsewhere.
-    pub fn add_feed(&mut self, feed: Box<dyn Feed>) {
-        self.feeds.push(feed);
+    pub fn add_job_source(&mut self, feed: Box<dyn JobSource>) {
+        self.job_sources.push(feed);
     }
 
     /// Adds a fleet with an instance of the decisions of its own.
@@ -320,17 +320,18 @@
             (self.turn..self.fleets.len()).chain(0..self.turn).for_each(|f| self.step(f, now));
             self.sweep(now);
             self.publish(now);
-            let closing = self.inbox.closes_connections();
+            let closing = self.inbox.is_closing_connections();
             if closing {
-                self.feeds.iter().for_each(|f| f.part());
+                self.job_sources.iter().for_each(|f| f.shut_down());
             }
             // From the last moment on those who still come are refused at once.
-            let late = self.inbox.stopping().is_some_and(|at| now - at >= self.inbox.out_by());
+            let late =
+                self.inbox.shutdown_requested_at().is_some_and(|at| now - at >= self.inbox.drain_timeout());
             if closing
                 && self.streams.values().all(|s| s.answered)
-                && self.inbox.unwritten() == 0
+                && self.inbox.pending_responses() == 0
                 && (late || now - self.arrived >= QUIET)
-                && self.inbox.close()
+                && self.inbox.stop_accepting()
             {
                 return;
             }
@@ -339,23 +340,23 @@
 
     /// When there is something to do even without news.
     fn wake_at(&self) -> Micros {
-        let idle = clock::now() + if self.inbox.stopping().is_some() { 20_000 } else { 250_000 };
+        let idle = clock::now() + if self.inbox.shutdown_requested_at().is_some() { 20_000 } else { 250_000 };
         let due = self.due.peek().map(|Reverse((at, _))| *at);
         let steps = self.fleets.iter().filter_map(|f| {
             let ready = f.stepped + f.set.tick;
             if f.events.is_empty() { f.timers.peek().map(|t| t.0.0.max(ready)) } else { Some(ready) }
         });
         let unsent = self.unsent.front().map(|u| u.due);
-        let feeds = self.feeds.iter().filter_map(|f| f.due());
+        let feeds = self.job_sources.iter().filter_map(|f| f.next_due());
         let dials = self.dial_queues.iter().filter_map(|queue| self.next_dial_at(*queue));
         steps.chain(feeds).chain(due).chain(unsent).chain(dials).fold(idle, Micros::min)
     }
 
     /// Takes in what the feeds have.
     fn draw(&mut self, now: Micros) {
-        for f in 0..self.feeds.len() {
+        for f in 0..self.job_sources.len() {
             for _ in 0..BATCH {
-                let Some(new) = self.feeds[f].next(now) else { break };
+                let Some(new) = self.job_sources[f].next(now) else { break };
                 self.arrive(new);
             }
         }
@@ -364,28 +365,28 @@
     /// Takes in one input.
     pub fn handle(&mut self, input: Input) {
         match input {
-            Input::Arrived(new) => {
-                self.inbox.entered();
+            Input::StreamArrived(new) => {
+                self.inbox.accepted();
                 self.arrive(*new);
             }
-            Input::Left(id) => {
+            Input::ClientDisconnected(id) => {
                 let Some(stream) = self.streams.get_mut(&id).filter(|s| !s.answered) else { return };
                 stream.answered = true;
                 // Its connection need not stay open for as long as an attempt may be out.
                 stream.downstream = Box::new(Gone);
                 let fleet = stream.fleet;
                 self.hold_back(id);
-                self.operation.figures.client_disconnected();
-                self.record(id, Finish::Left, 0);
+                self.admin.metrics.client_disconnected();
+                self.record(id, StreamOutcome::ClientDisconnected, 0);
                 self.fleets[fleet].events.push(Event::ClientDisconnected(JobId(id)));
                 self.forget(id);
             }
             Input::Upstream { id, event: heard, connection: link } => self.heard(id, heard, link),
-            Input::CallBack { id: call, from, event: told, report: gauge, body } => {
+            Input::Callback { id: call, from, event: told, report: gauge, body } => {
                 if !self.calls.contains_key(&call)
                     && let (Some(relay), Some(body)) = (&self.relay, body)
                 {
-                    return relay.pass(body);
+                    return relay.forward(body);
                 }
                 self.called_back(&call, &from, told, gauge);
             }
@@ -393,26 +394,26 @@
                 self.confirmed(fleet);
                 self.list(fleet, mode, hosts);
             }
-            Input::Room { fleet, worker, free_slots: free } => {
+            Input::Capacity { fleet, worker, free_slots: free } => {
                 let gauge = LoadReport { free_slots: Some(free), ..LoadReport::default() };
                 self.fleets[fleet].events.push(Event::HealthCheckEnded { worker, ok: true, report: gauge });
             }
-            Input::Fleet { fleet, settings: set, seed } => {
+            Input::FleetAdded { fleet, settings: set, seed } => {
                 assert_eq!(fleet, self.fleets.len(), "fleets come in the order of their numbers");
                 self.add_fleet(*set, seed, None).expect("checked by whoever made it");
             }
             Input::Feed => {}
             Input::WatchEnded { fleet, end } => {
                 self.start.record_watch_end();
-                self.operation.figures.start(&self.start, None);
+                self.admin.metrics.start(&self.start, None);
                 self.fleets[fleet].events.push(Event::WatchEnded(end));
             }
-            Input::DialLimits { fleet, limits } => {
+            Input::DialLimitsChanged { fleet, limits } => {
                 // Whether there are limits is settled at the start.
                 self.fleets[fleet].dial_limits.iter_mut().for_each(|present| *present = limits);
             }
-            Input::ListMoved { fleet, at } => self.fleets[fleet].events.push(Event::DiscoveryMoved(at)),
-            Input::Settings { fleet, settings: set } => {
+            Input::DiscoveryMoved { fleet, at } => self.fleets[fleet].events.push(Event::DiscoveryMoved(at)),
+            Input::SettingsChanged { fleet, settings: set } => {
                 let fleet = &mut self.fleets[fleet];
                 match fleet.dispatcher.update_settings(&set) {
                     Ok(()) => {
@@ -423,13 +424,13 @@
                 }
             }
             // Known from the inbox: this wakes the owner.
-            Input::Stop => {}
+            Input::ShutdownRequested => {}
         }
     }
 }
 
 /// The longest deadline of any class.
-pub fn longest(set: &Settings) -> Micros {
+pub fn max_client_timeout(set: &Settings) -> Micros {
     set.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
 }
 
--- a/dispatcher/src/core/event_loop/administration.rs
+++ b/dispatcher/src/core/event_loop/administration.rs
@@ -10,17 +10,17 @@
 
 /// What the admin address shares with the owner.
 #[derive(Clone)]
-pub struct Operation {
+pub struct AdminState {
     /// The figures of `METRICS`.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
     /// Workers that staff has suspended.
     pub suspensions: Arc<Suspensions>,
 }
 
-impl Operation {
+impl AdminState {
     /// For classes of these names.
-    pub fn new(classes: Vec<String>) -> Operation {
-        Operation { figures: Arc::new(Metrics::new(classes)), suspensions: Arc::default() }
+    pub fn new(classes: Vec<String>) -> AdminState {
+        AdminState { metrics: Arc::new(Metrics::new(classes)), suspensions: Arc::default() }
     }
 }
 
@@ -28,7 +28,7 @@
 pub(super) fn end(answer: &Answer) -> JobResult {
     match answer {
         Answer::Served(_) => JobResult::Answered,
-        Answer::Refused(_) => JobResult::Deferred,
+        Answer::Rejected(_) => JobResult::Deferred,
         Answer::Conflict | Answer::Failed | Answer::TimedOut => JobResult::Errored,
     }
 }
@@ -36,7 +36,7 @@
 impl Core {
     /// Tells each fleet's decisions which workers were suspended or restored since the last time.
     pub(super) fn apply_suspensions(&mut self) {
-        let Some((generation, out)) = self.operation.suspensions.changed_since(self.suspensions_seen) else {
+        let Some((generation, out)) = self.admin.suspensions.changed_since(self.suspensions_seen) else {
             return;
         };
         for fleet in &mut self.fleets {
@@ -49,7 +49,7 @@
         self.clear_dial_queues(|host| out.contains(&host.entry.worker));
         (0..self.fleets.len()).for_each(|f| self.hold_back_at(f, |host| out.contains(&host.entry.worker)));
         (self.told, self.suspensions_seen, self.published) = (out, generation, 0);
-        self.operation.suspensions.mark_applied(generation);
+        self.admin.suspensions.mark_applied(generation);
     }
 
     /// The list service has told of a fleet that it knows.
@@ -62,7 +62,7 @@
             let (s, calls, failed) = (after as f64 / 1e6, self.start.calls, self.start.failed_calls);
             tracing::info!("list confirmed {s:.1} s after the start; calls {calls}, of them failed {failed}");
         }
-        self.operation.figures.start(&self.start, first);
+        self.admin.metrics.start(&self.start, first);
     }
 
     /// Sets the figures of the list: the workers listed, and those of them that the decisions avoid.
@@ -78,6 +78,6 @@
                 avoided += fleet.dispatcher.is_avoided(host.entry.worker) as usize;
             }
         }
-        self.operation.figures.set_cluster(size, avoided);
+        self.admin.metrics.set_cluster(size, avoided);
     }
 }
--- a/dispatcher/src/core/event_loop/attempts.rs
+++ b/dispatcher/src/core/event_loop/attempts.rs
@@ -7,79 +7,89 @@
 const WITHIN: Micros = 10_000;
 
 impl Core {
-    pub(super) fn heard(&mut self, id: UpstreamId, heard: Heard, link: LinkIs) {
+    pub(super) fn heard(&mut self, id: UpstreamId, heard: UpstreamEvent, link: ConnectionState) {
         // It was given up while its host's word that it has it was on the way: the host need not go on.
         if let Some((fleet, host, payload)) = self.abandoned.remove(&id)
-            && matches!(heard, Heard::Taken)
+            && matches!(heard, UpstreamEvent::Accepted)
         {
-            self.send_control(fleet, host, Ask::Withdraw(payload), Some(Need::Control), None);
+            self.send_control(fleet, host, RequestKind::Withdraw(payload), Some(Need::Control), None);
         }
         let Some(up) = self.upstreams.get_mut(&id) else { return };
         let (fleet, host) = (up.fleet, up.host);
-        let kept = up.idle.take_if(|_| link != LinkIs::Busy);
+        let kept = up.idle.take_if(|_| link != ConnectionState::Busy);
         if let Some(idle) = kept {
             let (trust, now) = (&mut self.fleets[fleet].trust, clock::now());
             match heard {
-                Heard::Ended { outcome: Outcome::Reset, .. } | Heard::Broken => trust.broke(idle, now),
-                Heard::Taken | Heard::Ended { .. } | Heard::Probed { .. } => trust.worked(idle, now),
+                UpstreamEvent::Ended { outcome: Outcome::Reset, .. } | UpstreamEvent::ConnectionLost => {
+                    trust.broke(idle, now)
+                }
+                UpstreamEvent::Accepted
+                | UpstreamEvent::Ended { .. }
+                | UpstreamEvent::HealthChecked { .. } => trust.worked(idle, now),
                 _ => {}
             }
         }
-        if kept.is_none() && matches!(heard, Heard::Taken | Heard::Probed { ok: true, .. } | Heard::Withdrawn)
+        if kept.is_none()
+            && matches!(
+                heard,
+                UpstreamEvent::Accepted
+                    | UpstreamEvent::HealthChecked { ok: true, .. }
+                    | UpstreamEvent::Withdrawn
+            )
         {
             self.fleets[fleet].hosts.get_mut(&host).iter_mut().for_each(|h| h.dial_limiter.record_accepted());
         }
         let Some(up) = self.upstreams.get_mut(&id) else { return };
-        let preconnect = matches!(up.control, Some(Ask::Preconnect));
+        let preconnect = matches!(up.control, Some(RequestKind::Preconnect));
         match link {
-            LinkIs::Busy => {}
-            LinkIs::Closed => up.link = None,
-            LinkIs::Free => {
-                let kept = up.link.take().filter(|l| !l.resident());
+            ConnectionState::Busy => {}
+            ConnectionState::Closed => up.link = None,
+            ConnectionState::Free => {
+                let kept = up.link.take().filter(|l| !l.is_inbound());
                 let ready = self.fleets[fleet].hosts.get_mut(&host);
                 let ready = ready.filter(|h| h.entry.state == EndpointState::Ready);
                 if let Some((link, ready)) = kept.zip(ready) {
                     // Of a second 202 nothing would end.
-                    let rest = if matches!(heard, Heard::Taken) { 0 } else { SETTLE };
+                    let rest = if matches!(heard, UpstreamEvent::Accepted) { 0 } else { SETTLE };
                     ready.pool.put(link, clock::now(), rest);
                 }
             }
         }
         if preconnect {
-            self.preconnected(fleet, host, matches!(heard, Heard::Broken));
+            self.preconnected(fleet, host, matches!(heard, UpstreamEvent::ConnectionLost));
         }
-        if link == LinkIs::Free {
+        if link == ConnectionState::Free {
             self.assign_idle_connections(fleet, host);
         }
         match heard {
-            Heard::Taken | Heard::Started => {
+            UpstreamEvent::Accepted | UpstreamEvent::Started => {
                 let quit = self.upstreams.get_mut(&id).is_some_and(|up| {
                     up.taken = true;
-                    up.quit && matches!(heard, Heard::Taken)
+                    up.quit && matches!(heard, UpstreamEvent::Accepted)
                 });
                 if quit {
                     self.withdraw(id);
                 }
-                if matches!(heard, Heard::Started) {
+                if matches!(heard, UpstreamEvent::Started) {
                     self.notice(id, AttemptUpdate::Started);
                 }
             }
-            Heard::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
-            Heard::Said { kind: saying, bytes } => {
+            UpstreamEvent::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
+            UpstreamEvent::Output { kind: saying, bytes } => {
                 let stream =
                     self.upstreams.get(&id).filter(|u| !u.ended).and_then(|u| self.streams.get(&u.stream));
-                stream.iter().for_each(|s| s.downstream.say(saying, &bytes));
+                stream.iter().for_each(|s| s.downstream.output(saying, &bytes));
             }
-            Heard::Ended { outcome, report: gauge, body } => {
+            UpstreamEvent::Ended { outcome, report: gauge, body } => {
                 if outcome == Outcome::Reset {
                     self.unsettled(id);
                 }
                 self.end(id, outcome, gauge, body);
             }
-            Heard::Probed { ok, report: gauge } => {
+            UpstreamEvent::HealthChecked { ok, report: gauge } => {
                 self.fleets[fleet].events.push(Event::HealthCheckEnded { worker: host, ok, report: gauge });
             }
-            Heard::Withdrawn => {
+            UpstreamEvent::Withdrawn => {
                 let gone = self.upstreams.get_mut(&id).and_then(|u| u.withdraws.take());
                 if let Some(gone) = gone {
                     self.unsettled(gone);
@@ -87,17 +97,20 @@
                     self.drop_upstream(gone);
                 }
             }
-            Heard::Broken => match self.upstreams.get_mut(&id).and_then(|u| u.control.take()) {
+            UpstreamEvent::ConnectionLost => match self.upstreams.get_mut(&id).and_then(|u| u.control.take())
+            {
                 // On a kept connection that tells nothing of the host: again, on a new one.
                 Some(ask) if kept.is_some() => {
                     let withdraws = self.upstreams.get_mut(&id).and_then(|u| u.withdraws.take());
                     self.send_control(fleet, host, ask, None, withdraws);
                 }
-                Some(Ask::Probe) => self.probe_failed(fleet, host),
+                Some(RequestKind::HealthCheck) => self.probe_failed(fleet, host),
                 _ => {}
             },
-            Heard::ConnectionRejected { request_written: written } => self.connection_rejected(id, written),
-            Heard::Nothing => {}
+            UpstreamEvent::ConnectionRejected { request_written: written } => {
+                self.connection_rejected(id, written)
+            }
+            UpstreamEvent::Ignored => {}
         }
         self.retry_withdrawal(id);
         let lost = |u: &Upstream| u.link.is_none() && !u.taken && !u.ended && !u.waits;
@@ -114,7 +127,7 @@
         }
     }
 
-    pub(super) fn called_back(&mut self, call: &str, from: &str, told: Told, gauge: LoadReport) {
+    pub(super) fn called_back(&mut self, call: &str, from: &str, told: CallbackEvent, gauge: LoadReport) {
         // Of a former life, of another stream, of an attempt that is over: not ours to heed.
         let stream = self.calls.get(call).and_then(|id| self.streams.get(id));
         let Some(id) = stream.and_then(|s| s.out) else {
@@ -126,9 +139,9 @@
             return;
         }
         match told {
-            Told::Started => self.notice(id, AttemptUpdate::Started),
-            Told::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
-            Told::Ended(outcome, body) => {
+            CallbackEvent::Started => self.notice(id, AttemptUpdate::Started),
+            CallbackEvent::Progress(share) => self.notice(id, AttemptUpdate::Progress(share)),
+            CallbackEvent::Ended(outcome, body) => {
                 // The host calls again until it has our answer: the same word may come once more.
                 self.unsettled(id);
                 self.end(id, outcome, gauge, body);
@@ -195,7 +208,7 @@
         if up.waits {
             return self.leave_dial_queue(id);
         }
-        if up.link.as_ref().is_some_and(|l| l.hold_back()) {
+        if up.link.as_ref().is_some_and(|l| l.cancel_unsent()) {
             self.upstreams.entry(id).and_modify(|u| u.link = None);
             self.end(id, Outcome::NotStarted, LoadReport::default(), Vec::new());
             self.drop_upstream(id);
@@ -218,7 +231,7 @@
             return self.leave_dial_queue(id);
         }
         let (fleet, host, stream, taken) = (up.fleet, up.host, up.stream, up.taken);
-        let resident = up.link.as_ref().is_some_and(|l| l.resident());
+        let resident = up.link.as_ref().is_some_and(|l| l.is_inbound());
         if resident && !taken {
             // It may be taking it just now: it tells whether it did.
             return up.link.iter().for_each(|l| l.abort(id));
@@ -234,7 +247,7 @@
         self.end(id, outcome, LoadReport::default(), Vec::new());
         self.drop_upstream(id);
         if let Some(payload) = payload.filter(|_| taken && !resident) {
-            self.send_control(fleet, host, Ask::Withdraw(payload), Some(Need::Control), None);
+            self.send_control(fleet, host, RequestKind::Withdraw(payload), Some(Need::Control), None);
         }
     }
 
@@ -242,11 +255,11 @@
     pub(super) fn launch(
         &mut self,
         mut up: Upstream,
-        ask: Ask,
+        ask: RequestKind,
         deadline: Micros,
         need: Option<Need>,
     ) -> bool {
-        let runs = matches!(ask, Ask::Run(_)).then(|| self.streams.get(&up.stream)).flatten();
+        let runs = matches!(ask, RequestKind::Run(_)).then(|| self.streams.get(&up.stream)).flatten();
         let (class, begin_by) = (runs.map(|s| s.class.0 as usize), runs.map_or(Micros::MAX, |s| s.begin_by));
         let fleet = &mut self.fleets[up.fleet];
         let now = clock::now();
@@ -263,9 +276,9 @@
                         up.idle = Some(now - since);
                         Some(link)
                     }
-                    None if fleet.dialer.as_ref().is_some_and(|d| d.room(&request.ask)) => {
+                    None if fleet.dialer.as_ref().is_some_and(|d| d.has_capacity(&request.ask)) => {
                         if let Some(limits) =
-                            fleet.dial_limits.filter(|_| !matches!(request.ask, Ask::Preconnect))
+                            fleet.dial_limits.filter(|_| !matches!(request.ask, RequestKind::Preconnect))
                         {
                             let proven = need == Some(Need::Once) && rejected_recently(fleet.closed, now);
                             let open = host.dial_limiter.next_dial_at(limits, now) <= now && !proven;
--- a/dispatcher/src/core/event_loop/control_requests.rs
+++ b/dispatcher/src/core/event_loop/control_requests.rs
@@ -15,7 +15,7 @@
     pub(super) due: Micros,
     fleet: FleetId,
     host: WorkerId,
-    ask: Ask,
+    ask: RequestKind,
     /// The attempt that ends with it.
     withdraws: Option<UpstreamId>,
 }
@@ -28,7 +28,7 @@
         if up.waits {
             return self.leave_dial_queue(id);
         }
-        if up.link.as_ref().is_some_and(|l| l.resident()) {
+        if up.link.as_ref().is_some_and(|l| l.is_inbound()) {
             return self.give_up(id, Outcome::Cancelled);
         }
         up.quit = true;
@@ -43,9 +43,9 @@
         self.send_control(fleet, host, ask, Some(Need::Control), Some(id));
     }
 
-    fn withdrawal(&self, id: UpstreamId) -> Option<(FleetId, WorkerId, Ask)> {
+    fn withdrawal(&self, id: UpstreamId) -> Option<(FleetId, WorkerId, RequestKind)> {
         let up = self.upstreams.get(&id).filter(|u| !u.ended)?;
-        Some((up.fleet, up.host, Ask::Withdraw(self.streams.get(&up.stream)?.payload.clone())))
+        Some((up.fleet, up.host, RequestKind::Withdraw(self.streams.get(&up.stream)?.payload.clone())))
     }
 
     /// The connection of a control request has ended. If that was the withdrawal of an attempt, its host has not heard of
@@ -84,7 +84,7 @@
         &mut self,
         fleet: FleetId,
         host: WorkerId,
-        ask: Ask,
+        ask: RequestKind,
         need: Option<Need>,
         withdraws: Option<UpstreamId>,
     ) {
@@ -94,9 +94,9 @@
         if self.launch(up, ask.clone(), now + CONTROL_TIMEOUT, need) {
             return;
         }
-        if matches!(ask, Ask::Probe) {
+        if matches!(ask, RequestKind::HealthCheck) {
             self.probe_failed(fleet, host);
-        } else if matches!(ask, Ask::Preconnect) {
+        } else if matches!(ask, RequestKind::Preconnect) {
             self.preconnected(fleet, host, false);
         } else {
             self.queue_withdrawal(UnsentWithdrawal { due: now + RETRY, fleet, host, ask, withdraws });
--- a/dispatcher/src/core/event_loop/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -24,7 +24,7 @@
         let host = fleet.hosts.get(&worker).filter(|h| !h.preconnecting && !h.dial_queue.is_empty())?;
         let next = host.dial_limiter.next_dial_at(fleet.dial_limits?, now);
         // Without a descriptor to spare it is tried again with the next input, or after a while.
-        Some(if fleet.dialer.as_ref().is_some_and(|d| d.room(&host.dial_queue[0].ask)) {
+        Some(if fleet.dialer.as_ref().is_some_and(|d| d.has_capacity(&host.dial_queue[0].ask)) {
             next
         } else {
             now + RETRY
@@ -113,7 +113,7 @@
         host.dial_limiter.record_dial(limits, now);
         if rejected_recently(fleet.closed, now) && need(&fleet.set, first.class) == Need::Once {
             host.preconnecting = true;
-            return self.send_control(f, worker, Ask::Preconnect, None, None);
+            return self.send_control(f, worker, RequestKind::Preconnect, None, None);
         }
         let Some(mut request) = host.dial_queue.pop_front() else { return };
         request.connect_by = connect_by;
@@ -147,7 +147,7 @@
         let Some(host) = self.fleets[f].hosts.get_mut(&worker) else { return };
         host.dial_limiter.record_rejected(clock::now(), jitter);
         if let Some(ask) = up.control.take() {
-            if matches!(ask, Ask::Probe) {
+            if matches!(ask, RequestKind::HealthCheck) {
                 self.probe_failed(f, worker);
             }
             return;
@@ -170,7 +170,7 @@
             }
             return self.end(id, outcome, LoadReport::default(), Vec::new());
         };
-        let (ask, class) = (Ask::Run(stream.payload.clone()), Some(stream.class.0 as usize));
+        let (ask, class) = (RequestKind::Run(stream.payload.clone()), Some(stream.class.0 as usize));
         up.waits = true;
         self.due.push(Reverse((clock::now() + MAX_WAIT, Due::DialQueue(id))));
         let (begin_by, deadline) = (stream.begin_by, stream.deadline);
--- a/dispatcher/src/core/event_loop/hosts.rs
+++ b/dispatcher/src/core/event_loop/hosts.rs
@@ -5,27 +5,29 @@
 
 impl Core {
     pub(super) fn list(&mut self, f: FleetId, mode: ListMode, hosts: Vec<ListedHost>) {
-        self.operation.suspensions.note_listed(hosts.iter().map(|h| h.uid.as_str()));
+        self.admin.suspensions.note_listed(hosts.iter().map(|h| h.uid.as_str()));
         // What a host that came to us took no notice of before it left has not run.
-        for listed in hosts.iter().filter(|h| h.entry.state == EndpointState::Gone && h.endpoint.is_none()) {
-            let here = |u: &Upstream| u.fleet == f && u.host == listed.entry.worker && !u.taken && !u.ended;
+        for listed in hosts.iter().filter(|h| h.endpoint.state == EndpointState::Gone && h.address.is_none())
+        {
+            let here =
+                |u: &Upstream| u.fleet == f && u.host == listed.endpoint.worker && !u.taken && !u.ended;
             let unseen: Vec<_> = self.upstreams.iter().filter(|u| here(u.1)).map(|u| *u.0).collect();
             for id in unseen {
                 self.heard(
                     id,
-                    Heard::Ended {
+                    UpstreamEvent::Ended {
                         outcome: Outcome::ConnectFailed,
                         report: LoadReport::default(),
                         body: Vec::new(),
                     },
-                    LinkIs::Closed,
+                    ConnectionState::Closed,
                 );
             }
         }
         let fleet = &mut self.fleets[f];
         if mode.is_complete() {
             for (id, host) in &mut fleet.hosts {
-                if !hosts.iter().any(|h| h.entry.worker == *id) {
+                if !hosts.iter().any(|h| h.endpoint.worker == *id) {
                     host.entry.state = EndpointState::Gone;
                     host.pool.clear();
                 }
@@ -33,24 +35,24 @@
         }
         let mut entries = Vec::with_capacity(hosts.len());
         for listed in hosts {
-            entries.push(listed.entry.clone());
-            let host = fleet.hosts.entry(listed.entry.worker).or_insert_with(|| Host {
+            entries.push(listed.endpoint.clone());
+            let host = fleet.hosts.entry(listed.endpoint.worker).or_insert_with(|| Host {
                 uid: listed.uid.clone(),
                 endpoint: None,
                 pool: Pool::default(),
                 link: None,
-                entry: listed.entry.clone(),
+                entry: listed.endpoint.clone(),
                 dial_limiter: DialLimiter::new(clock::now()),
                 dial_queue: VecDeque::new(),
                 preconnecting: false,
             });
-            let restarted = listed.entry.started_at != host.entry.started_at;
-            if restarted || listed.endpoint != host.endpoint || listed.entry.state != EndpointState::Ready {
+            let restarted = listed.endpoint.started_at != host.entry.started_at;
+            if restarted || listed.address != host.endpoint || listed.endpoint.state != EndpointState::Ready {
                 host.pool.clear();
                 host.dial_limiter = DialLimiter::new(clock::now());
             }
-            (host.endpoint, host.entry) = (listed.endpoint, listed.entry);
-            host.link = listed.link;
+            (host.endpoint, host.entry) = (listed.address, listed.endpoint);
+            host.link = listed.connection;
         }
         let gone = |h: &Host| h.entry.state == EndpointState::Gone;
         if fleet.hosts.values().filter(|h| gone(h)).count() > GONE_HOSTS {
@@ -69,7 +71,7 @@
         self.list_was_usable |= listing.all(|f| f.dispatcher.list_is_valid());
         let mut hosts = self.fleets.iter().flat_map(|f| f.hosts.values());
         let takes_work = hosts.any(|h| h.entry.state == EndpointState::Ready);
-        self.inbox.set_able(takes_work && self.list_was_usable);
+        self.inbox.set_has_ready_host(takes_work && self.list_was_usable);
     }
 
     /// Says when a list becomes too old to act on, and when it is in step again.
--- a/dispatcher/src/core/event_loop/steps.rs
+++ b/dispatcher/src/core/event_loop/steps.rs
@@ -59,16 +59,16 @@
                     }
                 }
             }
-            Action::Reject { job, retry_after } => self.answer(job.0, Answer::Refused(retry_after)),
+            Action::Reject { job, retry_after } => self.answer(job.0, Answer::Rejected(retry_after)),
             Action::Fail { job } => self.answer(job.0, Answer::Failed),
             Action::Timer { delay, token } => self.fleets[f].timers.push(Reverse((now + delay, token))),
             Action::WatchEndpoints => {
                 self.start.record_call();
-                self.operation.figures.start(&self.start, None);
-                self.fleets[f].dialer.iter().for_each(|d| d.watch());
+                self.admin.metrics.start(&self.start, None);
+                self.fleets[f].dialer.iter().for_each(|d| d.watch_endpoints());
             }
             Action::HealthCheck(worker) => {
-                self.send_control(f, worker, Ask::Probe, Some(Need::Control), None)
+                self.send_control(f, worker, RequestKind::HealthCheck, Some(Need::Control), None)
             }
             Action::CloseIdleConnections(worker) => {
                 if let Some(host) = self.fleets[f].hosts.get_mut(&worker) {
@@ -103,7 +103,7 @@
         let up = Upstream { stream: job, round, sent: now, ..Upstream::new(f, worker) };
         let id = self.next_upstream;
         let need = dial_queue::need(&self.fleets[f].set, Some(stream.class.0 as usize));
-        if barred || !self.launch(up, Ask::Run(payload), deadline, Some(need)) {
+        if barred || !self.launch(up, RequestKind::Run(payload), deadline, Some(need)) {
             let last = self.streams[&job].answered;
             let (job, outcome, gauge) = (JobId(job), Outcome::NotStarted, LoadReport::default());
             self.fleets[f].events.push(Event::AttemptEnded {
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -5,10 +5,10 @@
 impl Core {
     pub(super) fn arrive(&mut self, mut new: NewStream) {
         let now = clock::now();
-        if let Some(at) = self.inbox.stopping().filter(|at| now - at > TAKES_ON) {
-            new.deadline = new.deadline.min(at + self.inbox.out_by());
+        if let Some(at) = self.inbox.shutdown_requested_at().filter(|at| now - at > TAKES_ON) {
+            new.deadline = new.deadline.min(at + self.inbox.drain_timeout());
             if new.deadline <= now {
-                return self.refuse(new, Answer::Refused(roselock::SECOND));
+                return self.refuse(new, Answer::Rejected(roselock::SECOND));
             }
         }
         // A feed may be ahead of the news of a fleet, which then waits in the queue: it was posted first.
@@ -26,7 +26,7 @@
         if new.deadline <= now {
             return self.refuse(new, Answer::Failed);
         }
-        self.operation.figures.job_admitted();
+        self.admin.metrics.job_admitted();
         self.fleets[new.fleet].events.push(Event::JobArrived(JobRequest {
             job: JobId(new.id),
             class: new.class,
@@ -55,7 +55,7 @@
                 _ => None,
             },
             begin_by: Micros::MAX,
-            ran: new.ran,
+            ran: new.prior_attempts,
             timed_out: false,
             host: None,
         };
@@ -64,8 +64,8 @@
 
     /// Answers a stream that is not taken on.
     pub(super) fn refuse(&self, new: NewStream, answer: Answer) {
-        self.operation.figures.job_ended(new.class.0 as usize, administration::end(&answer), false);
-        new.downstream.answer(answer, new.ran);
+        self.admin.metrics.job_ended(new.class.0 as usize, administration::end(&answer), false);
+        new.downstream.answer(answer, new.prior_attempts);
     }
 
     /// Drops a stream for which nothing is owed and nothing is out.
@@ -90,12 +90,12 @@
             answer => answer,
         };
         let (finish, sent) = match &answer {
-            Answer::Served(body) => (Finish::Served, body.len()),
-            Answer::Refused(_) => (Finish::Refused, 0),
-            Answer::Failed | Answer::Conflict => (Finish::Failed, 0),
-            Answer::TimedOut => (Finish::TimedOut, 0),
+            Answer::Served(body) => (StreamOutcome::Served, body.len()),
+            Answer::Rejected(_) => (StreamOutcome::Rejected, 0),
+            Answer::Failed | Answer::Conflict => (StreamOutcome::Failed, 0),
+            Answer::TimedOut => (StreamOutcome::TimedOut, 0),
         };
-        self.operation.figures.job_ended(stream.class.0 as usize, administration::end(&answer), true);
+        self.admin.metrics.job_ended(stream.class.0 as usize, administration::end(&answer), true);
         stream.downstream.answer(answer, ran);
         self.record(id, finish, sent);
         self.hold_back(id);
@@ -103,7 +103,7 @@
     }
 
     /// Takes down that a stream has finished.
-    pub(super) fn record(&self, id: StreamId, finish: Finish, sent: usize) {
+    pub(super) fn record(&self, id: StreamId, finish: StreamOutcome, sent: usize) {
         let Some(stream) = self.streams.get(&id) else { return };
         tracing::debug!(
             id = stream.payload.id(),
--- a/dispatcher/src/core/mod.rs
+++ b/dispatcher/src/core/mod.rs
@@ -33,13 +33,13 @@
     /// The client's id for it, where it has one of its own.
     pub id: Range<usize>,
     /// The id that a front gave it.
-    pub given: Option<String>,
+    pub assigned_id: Option<String>,
     /// The method.
     pub method: Range<usize>,
     /// Path and query; a unique id.
     pub target: Range<usize>,
     /// What a front keeps beside these: a reducer.
-    pub beside: Range<usize>,
+    pub reducer: Range<usize>,
     /// The client's `Idempotency-Key`, by which hosts tell a repeat; empty where it sent none.
     pub idempotency_key: Range<usize>,
     /// The body.
@@ -49,7 +49,7 @@
 impl Payload {
     /// The client's id for it.
     pub fn id(&self) -> &str {
-        match &self.given {
+        match &self.assigned_id {
             Some(id) => id,
             None => std::str::from_utf8(&self.raw[self.id.clone()]).unwrap_or(""),
         }
@@ -81,7 +81,7 @@
     /// When the client gives it up.
     pub deadline: Micros,
     /// Attempts that may have run before it came in, of a stream that comes again.
-    pub ran: u32,
+    pub prior_attempts: u32,
     /// The client's address.
     pub peer: SocketAddr,
     /// What to pass on.
@@ -96,7 +96,7 @@
     /// What an upstream host made of it.
     Served(Vec<u8>),
     /// A local reply: not taken on, harmless to try again, after this span if any.
-    Refused(Micros),
+    Rejected(Micros),
     /// A local reply: its id is that of another stream.
     Conflict,
     /// A local reply: failed, it may have run.
@@ -114,22 +114,22 @@
     /// The share done, likewise.
     fn progress(&self, _share: f64) {}
     /// What a host says meanwhile, likewise.
-    fn say(&self, _saying: Saying, _bytes: &[u8]) {}
+    fn output(&self, _saying: OutputKind, _bytes: &[u8]) {}
 }
 
 /// How a stream finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finish {
+pub enum StreamOutcome {
     /// With a host's result.
     Served,
     /// With a refusal.
-    Refused,
+    Rejected,
     /// With a failure.
     Failed,
     /// Without an answer in time.
     TimedOut,
     /// Its client left.
-    Left,
+    ClientDisconnected,
 }
 
 /// A finished stream, for the record.
@@ -149,7 +149,7 @@
     pub received: usize,
     pub sent: usize,
     /// How it finished.
-    pub finish: Finish,
+    pub finish: StreamOutcome,
 }
 
 /// Takes down finished streams. Never waits.
@@ -160,7 +160,7 @@
 
 /// What a host may say of a stream before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Saying {
+pub enum OutputKind {
     /// A part of the result.
     Data,
     /// A warning.
@@ -171,13 +171,13 @@
 
 /// What an upstream request asks for.
 #[derive(Clone)]
-pub enum Ask {
+pub enum RequestKind {
     /// To run a stream.
     Run(Arc<Payload>),
     /// To stop running one.
     Withdraw(Arc<Payload>),
     /// How it is.
-    Probe,
+    HealthCheck,
     /// Nothing: a new connection is opened ahead, and kept if it is accepted.
     Preconnect,
 }
@@ -188,7 +188,7 @@
     /// Its number.
     pub id: UpstreamId,
     /// What is asked.
-    pub ask: Ask,
+    pub ask: RequestKind,
     /// When a new connection is given up.
     pub connect_by: Micros,
     /// From when on it may not begin any more: its hosts do not know the request as a repeat.
@@ -200,7 +200,7 @@
 }
 
 /// A connection to an upstream host. Posts only; never waits.
-pub trait Link: Send + Sync {
+pub trait UpstreamConnection: Send + Sync {
     /// Starts an upstream request on it; false if it has closed, and nothing was done.
     fn start(&self, request: UpstreamRequest) -> bool;
     /// Ends this upstream request at once.
@@ -210,11 +210,11 @@
         true
     }
     /// Gives up what is on it, if nothing of it has left yet as the connection is not up; false if something may have.
-    fn hold_back(&self) -> bool {
+    fn cancel_unsent(&self) -> bool {
         false
     }
     /// Whether it takes but one upstream request at a time, all its life (a worker that came to us).
-    fn resident(&self) -> bool {
+    fn is_inbound(&self) -> bool {
         false
     }
 }
@@ -222,43 +222,43 @@
 /// Opens connections to the upstream hosts of a fleet. Posts only; never waits.
 pub trait Dialer: Send {
     /// Opens one, for a first upstream request.
-    fn dial(&self, endpoint: SocketAddr, request: UpstreamRequest) -> Arc<dyn Link>;
+    fn dial(&self, endpoint: SocketAddr, request: UpstreamRequest) -> Arc<dyn UpstreamConnection>;
     /// Whether another connection may be opened for this. Some are kept for withdrawals: a host runs on what nobody
     /// waits for.
-    fn room(&self, ask: &Ask) -> bool;
+    fn has_capacity(&self, ask: &RequestKind) -> bool;
     /// Asks for the changes of the list.
-    fn watch(&self);
+    fn watch_endpoints(&self);
 }
 
 /// Passes call-backs of streams that are not here to the other process of an upgrade. Never waits.
-pub trait Relay: Send {
+pub trait CallbackRelay: Send {
     /// Passes one on, as its body came.
-    fn pass(&self, body: Vec<u8>);
+    fn forward(&self, body: Vec<u8>);
 }
 
 /// Streams that wait elsewhere until the owner has room for them. Called by the owner alone; never waits.
-pub trait Feed: Send {
+pub trait JobSource: Send {
     /// The next one, if one may come in now.
     fn next(&self, now: Micros) -> Option<NewStream>;
     /// When one may come in without further news.
-    fn due(&self) -> Option<Micros>;
+    fn next_due(&self) -> Option<Micros>;
     /// The process is about to end: who still waits is told. Called over and over until the end.
-    fn part(&self);
+    fn shut_down(&self);
 }
 
 /// What was heard of an upstream request.
 #[derive(Debug)]
-pub enum Heard {
+pub enum UpstreamEvent {
     /// The host has it; word of its end comes later.
-    Taken,
+    Accepted,
     /// The host has it and runs it.
     Started,
     /// This share of it is done.
     Progress(f64),
     /// The host says something of it.
-    Said {
+    Output {
         /// Of what kind it is.
-        kind: Saying,
+        kind: OutputKind,
         /// The bytes.
         bytes: Vec<u8>,
     },
@@ -272,7 +272,7 @@
         body: Vec<u8>,
     },
     /// A probe's answer.
-    Probed {
+    HealthChecked {
         /// The host is well.
         ok: bool,
         /// Its load report.
@@ -281,19 +281,19 @@
     /// The host has answered a withdrawal.
     Withdrawn,
     /// The connection ended under a probe or a withdrawal.
-    Broken,
+    ConnectionLost,
     /// The host has rejected a new connection: closed it at once, without a byte.
     ConnectionRejected {
         /// Some of the request had been written by then.
         request_written: bool,
     },
     /// Nothing of note.
-    Nothing,
+    Ignored,
 }
 
 /// What became of the connection on which that was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkIs {
+pub enum ConnectionState {
     /// Still the upstream request's own.
     Busy,
     /// Fit for the next one.
@@ -304,7 +304,7 @@
 
 /// What a call-back tells of a stream.
 #[derive(Debug)]
-pub enum Told {
+pub enum CallbackEvent {
     /// It has started.
     Started,
     /// This share of it is done.
@@ -318,36 +318,36 @@
     /// Its name on the wire.
     pub uid: String,
     /// Where to dial it; a host with a link of its own has none.
-    pub endpoint: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// What the decisions are told.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// Its own connection, where it came to us.
-    pub link: Option<Arc<dyn Link>>,
+    pub connection: Option<Arc<dyn UpstreamConnection>>,
 }
 
 /// What socket code tells the owner of the decisions.
 pub enum Input {
     /// A stream came in.
-    Arrived(Box<NewStream>),
+    StreamArrived(Box<NewStream>),
     /// Its client left.
-    Left(StreamId),
+    ClientDisconnected(StreamId),
     /// News of an upstream request.
     Upstream {
         /// The upstream request.
         id: UpstreamId,
         /// What happened.
-        event: Heard,
+        event: UpstreamEvent,
         /// The state of its connection after that.
-        connection: LinkIs,
+        connection: ConnectionState,
     },
     /// A callback of an upstream host.
-    CallBack {
+    Callback {
         /// The client's id of the job.
         id: String,
         /// The name of the host that sent it.
         from: String,
         /// What happened.
-        event: Told,
+        event: CallbackEvent,
         /// The host's load report.
         report: LoadReport,
         /// Its body as received, where it may be forwarded to the other process of an upgrade.
@@ -363,7 +363,7 @@
         hosts: Vec<ListedHost>,
     },
     /// A host that came to us has so many hands free, by what it does elsewhere.
-    Room {
+    Capacity {
         /// The fleet.
         fleet: FleetId,
         /// The worker.
@@ -372,7 +372,7 @@
         free_slots: f64,
     },
     /// A new fleet, with settings and a seed.
-    Fleet {
+    FleetAdded {
         /// Its number: the next one that is free.
         fleet: FleetId,
         /// The settings of its decisions.
@@ -390,28 +390,28 @@
         end: WatchEnd,
     },
     /// The list service was moved at that time.
-    ListMoved {
+    DiscoveryMoved {
         /// The fleet.
         fleet: FleetId,
         /// When.
         at: Micros,
     },
     /// New settings of the decisions, for the same names.
-    Settings {
+    SettingsChanged {
         /// The fleet.
         fleet: FleetId,
         /// The settings.
         settings: Box<Settings>,
     },
     /// New limits of connections to the workers of a fleet that has such limits.
-    DialLimits {
+    DialLimitsChanged {
         /// The fleet.
         fleet: FleetId,
         /// The limits.
         limits: DialLimits,
     },
     /// Finish what is owed, then stop.
-    Stop,
+    ShutdownRequested,
 }
 
 /// The way to the owner of the decisions: a bounded queue.
@@ -424,14 +424,14 @@
 #[derive(Default)]
 struct Shared {
     streams: AtomicU32,
-    unwritten: AtomicUsize,
-    able: AtomicBool,
+    pending_responses: AtomicUsize,
+    has_ready_host: AtomicBool,
     /// When it was told to stop, if it was.
-    stop: AtomicI64,
+    shutdown_requested_at: AtomicI64,
     /// The longest deadline of any class, of the settings in which that is shortest; 0: none are known.
-    longest: AtomicI64,
+    min_client_timeout: AtomicI64,
     /// Streams posted and not yet taken in by the owner, and a bit that is set once none is taken any more.
-    entering: AtomicU64,
+    submitted: AtomicU64,
 }
 
 /// Set in `entering` at the end.
@@ -439,20 +439,20 @@
 
 /// A process that is told to stop may be killed this long after that and its longest deadline, of which no more than
 /// `COUNTED` counts; what comes late has its answer this long before.
-const KILL: Micros = 700_000;
-const COUNTED: Micros = 3_000_000;
-const MARGIN: Micros = 200_000;
+const KILL_GRACE: Micros = 700_000;
+const MAX_COUNTED_TIMEOUT: Micros = 3_000_000;
+const KILL_MARGIN: Micros = 200_000;
 /// For half of that time, and a little, it serves on as before on the connections it has: their clients may have nowhere
 /// else to go. After that each ends with its next answer.
-const LINGER: (Micros, Micros) = (18, 35);
+const LINGER_FRACTION: (Micros, Micros) = (18, 35);
 
 /// Most inputs that wait for the owner.
-const QUEUE: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 impl Inbox {
     /// The queue and its end.
     pub fn new() -> (Inbox, Receiver<Input>) {
-        let (queue, outlet) = sync_channel(QUEUE);
+        let (queue, outlet) = sync_channel(QUEUE_CAPACITY);
         (Inbox { queue, shared: Arc::default() }, outlet)
     }
     /// Posts one input. Where the queue is full, the coroutine (never its thread) waits.
@@ -463,75 +463,83 @@
         }
     }
     /// Finish what is owed, then stop.
-    pub fn stop(&self) {
-        let _ = self.shared.stop.compare_exchange(0, clock::now(), Ordering::SeqCst, Ordering::SeqCst);
-        self.post(Input::Stop);
+    pub fn request_shutdown(&self) {
+        let _ = self.shared.shutdown_requested_at.compare_exchange(
+            0,
+            clock::now(),
+            Ordering::SeqCst,
+            Ordering::SeqCst,
+        );
+        self.post(Input::ShutdownRequested);
     }
     /// Wakes the owner, if there is room in the queue: where there is none, it is awake anyway. Never waits.
-    pub fn nudge(&self) {
+    pub fn wake(&self) {
         let _ = self.queue.try_send(Input::Feed);
     }
     /// When it was told to stop.
-    pub fn stopping(&self) -> Option<Micros> {
-        Some(self.shared.stop.load(Ordering::SeqCst)).filter(|at| *at != 0)
+    pub fn shutdown_requested_at(&self) -> Option<Micros> {
+        Some(self.shared.shutdown_requested_at.load(Ordering::SeqCst)).filter(|at| *at != 0)
     }
     /// Notes the longest deadline of any class in settings that were read. Whoever ends the process may go by any of them, so
     /// the earliest end holds.
-    pub fn note_longest(&self, longest: Micros) {
+    pub fn note_client_timeout(&self, longest: Micros) {
         let shorter = |known: Micros| (known == 0 || longest < known).then_some(longest);
-        let _ = self.shared.longest.fetch_update(Ordering::SeqCst, Ordering::SeqCst, shorter);
+        let _ = self.shared.min_client_timeout.fetch_update(Ordering::SeqCst, Ordering::SeqCst, shorter);
     }
     /// How long after the word to stop the last answer has to be out.
-    pub fn out_by(&self) -> Micros {
-        self.shared.longest.load(Ordering::SeqCst).min(COUNTED) + KILL - MARGIN
+    pub fn drain_timeout(&self) -> Micros {
+        self.shared.min_client_timeout.load(Ordering::SeqCst).min(MAX_COUNTED_TIMEOUT) + KILL_GRACE
+            - KILL_MARGIN
     }
     /// When the process has to have ended, once it was told to stop.
-    pub fn ends_by(&self) -> Micros {
-        self.stopping().map_or(Micros::MAX, |at| at + self.out_by() + MARGIN / 2)
+    pub fn exit_deadline(&self) -> Micros {
+        self.shutdown_requested_at().map_or(Micros::MAX, |at| at + self.drain_timeout() + KILL_MARGIN / 2)
     }
     /// Whether the word to stop came so long ago that connections are closed after their next answer.
-    pub fn closes_connections(&self) -> bool {
-        self.stopping().is_some_and(|at| clock::now() - at >= self.out_by() * LINGER.0 / LINGER.1)
+    pub fn is_closing_connections(&self) -> bool {
+        self.shutdown_requested_at().is_some_and(|at| {
+            clock::now() - at >= self.drain_timeout() * LINGER_FRACTION.0 / LINGER_FRACTION.1
+        })
     }
     /// Posts a stream; false where none is taken any more, and nothing was done.
-    pub fn enter(&self, new: Box<NewStream>) -> bool {
+    pub fn submit(&self, new: Box<NewStream>) -> bool {
         let one_more = |entering: u64| (entering & CLOSED == 0).then_some(entering + 1);
-        if self.shared.entering.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_more).is_err() {
+        if self.shared.submitted.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_more).is_err() {
             return false;
         }
-        self.post(Input::Arrived(new));
+        self.post(Input::StreamArrived(new));
         true
     }
     /// The owner has taken a posted stream in.
-    pub fn entered(&self) {
-        let _ = self.shared.entering.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
+    pub fn accepted(&self) {
+        let _ = self.shared.submitted.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
     }
     /// Takes no further stream; false while one that was posted has not been taken in.
-    pub fn close(&self) -> bool {
-        self.shared.entering.compare_exchange(0, CLOSED, Ordering::SeqCst, Ordering::SeqCst).is_ok()
+    pub fn stop_accepting(&self) -> bool {
+        self.shared.submitted.compare_exchange(0, CLOSED, Ordering::SeqCst, Ordering::SeqCst).is_ok()
     }
     /// A number for a new stream.
     pub fn stream_id(&self) -> StreamId {
         self.shared.streams.fetch_add(1, Ordering::Relaxed)
     }
     /// Notes whether any host takes work.
-    pub fn set_able(&self, able: bool) {
-        self.shared.able.store(able, Ordering::SeqCst);
+    pub fn set_has_ready_host(&self, able: bool) {
+        self.shared.has_ready_host.store(able, Ordering::SeqCst);
     }
     /// Whether any host takes work.
-    pub fn able(&self) -> bool {
-        self.shared.able.load(Ordering::SeqCst)
+    pub fn has_ready_host(&self) -> bool {
+        self.shared.has_ready_host.load(Ordering::SeqCst)
     }
     /// Notes an answer that is to be written.
-    pub fn owe_write(&self) {
-        self.shared.unwritten.fetch_add(1, Ordering::SeqCst);
+    pub fn response_pending(&self) {
+        self.shared.pending_responses.fetch_add(1, Ordering::SeqCst);
     }
     /// Notes an answer that is written, or has nobody left to read it.
-    pub fn wrote(&self) {
-        self.shared.unwritten.fetch_sub(1, Ordering::SeqCst);
+    pub fn response_written(&self) {
+        self.shared.pending_responses.fetch_sub(1, Ordering::SeqCst);
     }
     /// Answers that are yet to be written.
-    pub fn unwritten(&self) -> usize {
-        self.shared.unwritten.load(Ordering::SeqCst)
+    pub fn pending_responses(&self) -> usize {
+        self.shared.pending_responses.load(Ordering::SeqCst)
     }
 }
--- a/dispatcher/src/core/pool.rs
+++ b/dispatcher/src/core/pool.rs
@@ -1,6 +1,6 @@
 //! Idle connections to one upstream host, and for how long such can be trusted.
 
-use super::Link;
+use super::UpstreamConnection;
 use roselock::Micros;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -85,12 +85,17 @@
 }
 
 /// An idle connection: since when, from when on it may be used again, and itself.
-type Idle = (Micros, Micros, Arc<dyn Link>);
+type Idle = (Micros, Micros, Arc<dyn UpstreamConnection>);
 
 impl Pool {
     /// Takes one that is still open, has rested and fell idle after `since`, with when it did: the latest, or for an
     /// control request the oldest.
-    pub fn take(&mut self, now: Micros, since: Micros, need: Need) -> Option<(Micros, Arc<dyn Link>)> {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        since: Micros,
+        need: Need,
+    ) -> Option<(Micros, Arc<dyn UpstreamConnection>)> {
         self.idle.retain(|i| i.2.is_open());
         let rested = |i: &Idle| i.1 <= now;
         let at = match need {
@@ -100,7 +105,7 @@
         self.idle.remove(at?).map(|(since, _, link)| (since, link))
     }
     /// Keeps a connection that fell idle and rests for so long; the oldest one goes where there are too many.
-    pub fn put(&mut self, link: Arc<dyn Link>, now: Micros, rest: Micros) {
+    pub fn put(&mut self, link: Arc<dyn UpstreamConnection>, now: Micros, rest: Micros) {
         self.idle.push_back((now, now + rest, link));
         if self.idle.len() > MOST {
             self.idle.pop_front();
--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -1,6 +1,6 @@
 //! The configuration that a dispatcher is started with.
 
-use super::settings_error::{Place, Problem, parse};
+use super::settings_error::{ConfigError, SourceLocation, parse};
 use super::{log, startup_settings};
 use crate::wire::list::{List, Target};
 use crate::wire::{gearman, ipfix};
@@ -147,8 +147,8 @@
     fn parse<T: serde::de::DeserializeOwned>(&self) -> Result<T, String> {
         parse(self.path, &self.text)
     }
-    fn at(&self, prefix: &str, problem: &Problem) -> String {
-        problem.at(&Place { path: self.path, text: &self.text, prefix })
+    fn at(&self, prefix: &str, problem: &ConfigError) -> String {
+        problem.at(&SourceLocation { path: self.path, text: &self.text, prefix })
     }
 }
 
@@ -261,7 +261,7 @@
     Ok((parts, warnings))
 }
 
-fn check_gearman(file: &gearman::File, limits: Limits, site: &Site) -> Result<(), Problem> {
+fn check_gearman(file: &gearman::File, limits: Limits, site: &Site) -> Result<(), ConfigError> {
     gearman::file::figures(file, limits.shares(1).further_bytes)?;
     gearman::file::functions(file, site).map(|_| ())
 }
--- a/dispatcher/src/lifecycle/relay.rs
+++ b/dispatcher/src/lifecycle/relay.rs
@@ -2,7 +2,7 @@
 //! listener, so a host's word of a stream may reach the process that does not hold it. Each process appends such
 //! words to a file of its own and reads the files of the other processes of its name (docs/design/operation.md).
 
-use crate::core::{Inbox, Relay};
+use crate::core::{CallbackRelay, Inbox};
 use crate::wire::callbacks;
 use roselock::settings::{Site, fnv};
 use std::collections::{HashMap, VecDeque};
@@ -27,8 +27,8 @@
     queue: SyncSender<Vec<u8>>,
 }
 
-impl Relay for Sender {
-    fn pass(&self, body: Vec<u8>) {
+impl CallbackRelay for Sender {
+    fn forward(&self, body: Vec<u8>) {
         if let Err(TrySendError::Full(_)) = self.queue.try_send(body) {
             tracing::warn!("a call-back to pass on is dropped: 1,024 wait already");
         }
@@ -38,7 +38,7 @@
 /// Starts the thread; what it reads goes to the owner as call-backs that are not passed on again.
 /// The files are named by the dispatcher, its classes and its tenants: another customer's, where a folder is shared, are
 /// not read.
-pub fn start(name: &str, site: Arc<Site>, inbox: Inbox) -> Box<dyn Relay> {
+pub fn start(name: &str, site: Arc<Site>, inbox: Inbox) -> Box<dyn CallbackRelay> {
     let (queue, outlet) = sync_channel(QUEUE);
     let prefix = prefix(name, &[site.classes.names(), site.tenants.names()]);
     std::thread::spawn(move || run(&prefix, &site, &inbox, &outlet));
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -3,11 +3,11 @@
 use super::config::{self, Config};
 use super::log;
 use super::{listen, relay, suspension_store};
-use crate::core::event_loop::{Core, Operation, longest};
+use crate::core::event_loop::{AdminState, Core, max_client_timeout};
 use crate::core::{FleetId, Inbox, Input, clock};
 use crate::wire::admin::{self, Admin};
-use crate::wire::connection_limiter::Table;
-use crate::wire::discovery::{Progress, Registry, Watch};
+use crate::wire::connection_limiter::ConnectionLimiter;
+use crate::wire::discovery::{DiscoveryEndpoint, Progress, Watch};
 use crate::wire::front::{self, Front};
 use crate::wire::gearman::{self, Gearman};
 use crate::wire::ipfix;
@@ -46,7 +46,7 @@
     let (inbox, outlet) = Inbox::new();
     let (ask, asked) = channel();
     let site = Arc::new(config.site.clone());
-    let operation = Operation::new(config.site.classes.names().to_vec());
+    let operation = AdminState::new(config.site.classes.names().to_vec());
     let shares = config.limits.shares(config.gearman.is_some() as usize);
     let dialer = HttpDialer {
         inbox: inbox.clone(),
@@ -54,11 +54,12 @@
         open: Arc::new(AtomicUsize::new(0)),
         most: shares.upstream,
         watch: ask.clone(),
-        figures: operation.figures.clone(),
+        metrics: operation.metrics.clone(),
     };
-    let registry = Registry::new(config.discovery, ask, !config.site.settings.watch_required);
+    let registry = DiscoveryEndpoint::new(config.discovery, ask, !config.site.settings.watch_required);
     let flows = config.ipfix.as_ref().map(|file| ipfix::start(file, &site)).transpose()?;
-    let owner = suspension_store::Owner { site: config.listen.to_string(), name: config.name.clone() };
+    let owner =
+        suspension_store::StoreIdentity { site: config.listen.to_string(), name: config.name.clone() };
     let kept = suspension_store::begin(owner, &operation.suspensions);
     let mut core = Core::new(inbox.clone(), outlet, flows, operation.clone());
     // Only its list counts as told unheard: what comes to us by itself is told by its connection.
@@ -66,14 +67,14 @@
     let fleet = core.add_fleet(settings, config.seed, Some(Box::new(dialer)))?;
     config.dial_limits.into_iter().for_each(|limits| core.set_dial_limits(fleet, limits));
     let mut watch = Watch {
-        registry: registry.clone(),
+        endpoint: registry.clone(),
         rev: Some(config.known.rev),
-        nobody: false,
-        in_vain: 0,
+        empty_list: false,
+        consecutive_empty_lists: 0,
         site: config.site.clone(),
         inbox: inbox.clone(),
         fleet,
-        figures: operation.figures.clone(),
+        metrics: operation.metrics.clone(),
         resync_after: config.resync_after,
         resync: None,
         progress: Progress::default(),
@@ -82,7 +83,7 @@
     let mut known = config.known.clone();
     watch.history.admit(&mut known);
     let known = hosts(&known, &mut watch.site);
-    core.came_up_with(fleet, known);
+    core.seed_known_hosts(fleet, known);
     may::go!(move || watch.run(&asked));
 
     let (listener, inherited) = listen::for_clients(&config)?;
@@ -91,16 +92,16 @@
         site,
         inbox: inbox.clone(),
         fleet,
-        table: Table::new(shares.downstream),
+        connections: ConnectionLimiter::new(shares.downstream),
         bytes: AtomicUsize::new(shares.bytes),
         held: AtomicUsize::new(0),
         inherited,
-        figures: operation.figures.clone(),
+        metrics: operation.metrics.clone(),
     });
-    inbox.note_longest(longest(&config.site.settings));
+    inbox.note_client_timeout(max_client_timeout(&config.site.settings));
     let accepting = front.clone();
     may::go!(move || front::accept(accepting, &listener));
-    let table = front.table.clone();
+    let table = front.connections.clone();
     let gearman = config.gearman.as_ref().map(|file| {
         let bytes = shares.further_bytes;
         let figures = gearman::file::figures(file, bytes).map_err(|e| e.to_string())?;
@@ -118,7 +119,7 @@
         for function in gearman::file::functions(file, &config.site).map_err(|e| e.to_string())? {
             front.make(function)?;
         }
-        core.add_feed(Box::new(gearman::Queue(front.clone())));
+        core.add_job_source(Box::new(gearman::Queue(front.clone())));
         let listener = listen::bind(file.listen, "")?;
         let listen = listener.local_addr().map_err(|e| e.to_string())?;
         tracing::info!("{}: Gearman on {listen}", config.name);
@@ -132,10 +133,10 @@
         let listener = listen::bind(at, " (admin)")?;
         let listen = listener.local_addr().map_err(|e| e.to_string())?;
         let admin = Arc::new(Admin {
-            figures: operation.figures.clone(),
+            metrics: operation.metrics.clone(),
             suspensions: operation.suspensions.clone(),
             inbox: inbox.clone(),
-            table: Table::new(admin::CONNECTIONS),
+            connections: ConnectionLimiter::new(admin::CONNECTIONS),
         });
         may::go!(move || admin::accept(admin, &listener));
         tracing::info!("{}: admin on {listen}", config.name);
@@ -151,8 +152,8 @@
     // This thread owns the decisions from here on.
     core.run();
     // Nothing more is taken on. Those who rest are told so, and what crosses it is read: their clients send it elsewhere.
-    table.finish();
-    let last = inbox.ends_by().min(clock::now() + FAREWELL);
+    table.finish_writes();
+    let last = inbox.exit_deadline().min(clock::now() + FAREWELL);
     while table.open() > 0 && clock::now() < last {
         std::thread::sleep(LOOK);
     }
@@ -164,7 +165,7 @@
 struct Parts {
     inbox: Inbox,
     fleet: FleetId,
-    registry: Registry,
+    registry: DiscoveryEndpoint,
     /// Moves of discovery told so far: one that waits for its turn is void once there is a later one.
     moves: Arc<AtomicUsize>,
     gearman: Option<Arc<Gearman>>,
@@ -177,17 +178,19 @@
         let name = &old.name;
         let same = new.site.has_same_names_as(running);
         // Whether or not they are taken.
-        self.inbox.note_longest(longest(&new.site.settings));
+        self.inbox.note_client_timeout(max_client_timeout(&new.site.settings));
         if new.discovery != old.discovery {
             self.move_discovery(name, new);
         }
         if same {
             *running = new.site.clone();
-            self.inbox
-                .post(Input::Settings { fleet: self.fleet, settings: Box::new(new.site.settings.clone()) });
+            self.inbox.post(Input::SettingsChanged {
+                fleet: self.fleet,
+                settings: Box::new(new.site.settings.clone()),
+            });
             new.dial_limits
                 .into_iter()
-                .for_each(|l| self.inbox.post(Input::DialLimits { fleet: self.fleet, limits: l }));
+                .for_each(|l| self.inbox.post(Input::DialLimitsChanged { fleet: self.fleet, limits: l }));
             self.registry.set_pushed(!new.site.settings.watch_required);
         } else {
             tracing::warn!(
@@ -253,7 +256,7 @@
                 }
                 continue;
             }
-            parts.inbox.stop();
+            parts.inbox.request_shutdown();
         }
     });
 }
--- a/dispatcher/src/lifecycle/settings_error.rs
+++ b/dispatcher/src/lifecycle/settings_error.rs
@@ -5,7 +5,7 @@
 
 /// A value that makes no sense.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct ConfigError {
     span: Option<Range<usize>>,
     key: String,
     what: String,
@@ -13,7 +13,7 @@
 }
 
 /// Where a text of settings was read.
-pub struct Place<'a> {
+pub struct SourceLocation<'a> {
     /// The file.
     pub path: &'a Path,
     /// Its text.
@@ -22,27 +22,27 @@
     pub prefix: &'a str,
 }
 
-impl Problem {
+impl ConfigError {
     /// A problem of a key, with what would be right.
     pub fn new(
         span: impl Into<Option<Range<usize>>>,
         key: &str,
         what: impl ToString,
         cure: impl ToString,
-    ) -> Problem {
-        Problem { span: span.into(), key: key.into(), what: what.to_string(), cure: cure.to_string() }
+    ) -> ConfigError {
+        ConfigError { span: span.into(), key: key.into(), what: what.to_string(), cure: cure.to_string() }
     }
 
     /// In words, for a place.
-    pub fn at(&self, place: &Place) -> String {
-        let Problem { key, what, cure, .. } = self;
+    pub fn at(&self, place: &SourceLocation) -> String {
+        let ConfigError { key, what, cure, .. } = self;
         let line = self.span.as_ref().map(|s| format!("line {}: ", line(place.text, s.start)));
         let (path, prefix) = (place.path.display(), place.prefix);
         format!("{path}: {}{prefix}{key}: {what}; expected: {cure}", line.unwrap_or_default())
     }
 }
 
-impl std::fmt::Display for Problem {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}: {}; expected: {}", self.key, self.what, self.cure)
     }
--- a/dispatcher/src/lifecycle/startup_settings.rs
+++ b/dispatcher/src/lifecycle/startup_settings.rs
@@ -1,6 +1,6 @@
 //! `[start]` of the operators' file: how a dispatcher starts beside hundreds of others.
 
-use super::settings_error::Problem;
+use super::settings_error::ConfigError;
 use roselock::{Micros, SECOND};
 use roselock_dial_limiter::DialLimits;
 use serde::Deserialize;
@@ -38,43 +38,43 @@
 
 impl File {
     /// The first guess of the pace, if it is told, or what is wrong with it.
-    pub fn list_call(&self) -> Result<Option<Micros>, Problem> {
+    pub fn list_call(&self) -> Result<Option<Micros>, ConfigError> {
         let Some(told) = &self.list_call_ms else { return Ok(None) };
         let ms = *told.as_ref();
         if GUESSES.contains(&ms) {
             return Ok(Some((ms * 1e3) as Micros));
         }
         let cure = "the milliseconds that one call takes the list service, from 1 to 1000";
-        Err(Problem::new(told.span(), "list_call_ms", format!("{ms} makes no sense"), cure))
+        Err(ConfigError::new(told.span(), "list_call_ms", format!("{ms} makes no sense"), cure))
     }
     /// The bound of new connections, if it is told, or what is wrong with it.
-    fn connections(&self) -> Result<Option<f64>, Problem> {
+    fn connections(&self) -> Result<Option<f64>, ConfigError> {
         let Some(told) = &self.connections_per_s else { return Ok(None) };
         let n = *told.as_ref();
         if CONNECTIONS.contains(&n) {
             return Ok(Some(n));
         }
         let cure = "new connections a second that all dispatchers may open at one worker, from 0.1 to 100000";
-        Err(Problem::new(told.span(), "connections_per_s", format!("{n} makes no sense"), cure))
+        Err(ConfigError::new(told.span(), "connections_per_s", format!("{n} makes no sense"), cure))
     }
     /// How long after a move the whole list is asked for, or what is wrong with it.
-    pub fn resync_after(&self) -> Result<Micros, Problem> {
+    pub fn resync_after(&self) -> Result<Micros, ConfigError> {
         let Some(told) = &self.resync_after_s else { return Ok(RESYNC) };
         let seconds = *told.as_ref();
         if RESYNCS.contains(&seconds) {
             return Ok((seconds * SECOND as f64) as Micros);
         }
         let cure = "the seconds after a move of the list service until the whole list is asked for, from 0.1 to 3600";
-        Err(Problem::new(told.span(), "resync_after_s", format!("{seconds} makes no sense"), cure))
+        Err(ConfigError::new(told.span(), "resync_after_s", format!("{seconds} makes no sense"), cure))
     }
     /// What is wrong with the section, if anything.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         self.list_call().and(self.connections()).and(self.resync_after()).map(|_| ())
     }
     /// A key that has another name now, if the file has one.
-    pub fn deprecated(&self) -> Option<Problem> {
+    pub fn deprecated(&self) -> Option<ConfigError> {
         let door = self.door.as_ref()?;
-        Some(Problem::new(door.span(), "door", "this key has another name now", "start.dial_backoff"))
+        Some(ConfigError::new(door.span(), "door", "this key has another name now", "start.dial_backoff"))
     }
     /// Limits of new connections, for one of `all` dispatchers; none: they are not limited.
     pub fn dial_limits(&self, all: u32) -> Option<DialLimits> {
--- a/dispatcher/src/lifecycle/suspension_store.rs
+++ b/dispatcher/src/lifecycle/suspension_store.rs
@@ -16,7 +16,7 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Who the file belongs to.
-pub struct Owner {
+pub struct StoreIdentity {
     /// The clients' address: the same for both processes of an upgrade.
     pub site: String,
     /// The dispatcher's name.
@@ -34,7 +34,7 @@
 }
 
 /// Reads the file; what cannot be trusted is logged and left.
-fn read(path: &Path, owner: &Owner) -> Option<SuspendedWorkers> {
+fn read(path: &Path, owner: &StoreIdentity) -> Option<SuspendedWorkers> {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return None,
@@ -53,7 +53,7 @@
 }
 
 /// Writes it whole under another name, then puts it in the place of the old one, and makes sure that both outlast a crash.
-fn write(path: &Path, owner: &Owner, wanted: &SuspendedWorkers) -> std::io::Result<()> {
+fn write(path: &Path, owner: &StoreIdentity, wanted: &SuspendedWorkers) -> std::io::Result<()> {
     let saved = SuspensionFile {
         site: owner.site.clone(),
         name: owner.name.clone(),
@@ -71,14 +71,14 @@
 
 /// The file as it was before anybody could change what is wanted: what comes later is written, or read again.
 pub struct Kept {
-    owner: Owner,
+    owner: StoreIdentity,
     path: PathBuf,
     written: SuspendedWorkers,
     seen: Option<Stamp>,
 }
 
 /// Takes over what the process before left. To be called before the admin address opens.
-pub fn begin(owner: Owner, suspensions: &Suspensions) -> Kept {
+pub fn begin(owner: StoreIdentity, suspensions: &Suspensions) -> Kept {
     let path = path(&owner.name);
     // Before it is read: what is written in between is seen as a change.
     let seen = stamp(&path);
@@ -105,7 +105,7 @@
                     suspensions.mark_saved(other.sequence);
                     if suspensions.adopt(other) {
                         tracing::info!("{}: workers out by hand as another process left them", owner.name);
-                        inbox.nudge();
+                        inbox.wake();
                     }
                 }
             }
--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -2,7 +2,7 @@
 //! from shared figures and never wait behind client traffic or the owner's queue; a change waits for the owner
 //! at most [`TOLD_WITHIN`].
 
-use super::connection_limiter::{Rank, Table};
+use super::connection_limiter::{ConnectionLimiter, ShedPriority};
 use super::http::by;
 use super::socket::Socket;
 use crate::core::suspensions::{SetResult, Suspensions};
@@ -30,18 +30,18 @@
 /// What the admin address sees and steers.
 pub struct Admin {
     /// The figures of `METRICS`.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
     /// Workers that staff has suspended.
     pub suspensions: Arc<Suspensions>,
     /// Whether the process can serve, and the way to wake the owner.
     pub inbox: Inbox,
     /// Its connections.
-    pub table: Arc<Table>,
+    pub connections: Arc<ConnectionLimiter>,
 }
 
 /// Accepts admin connections for ever.
 pub fn accept(admin: Arc<Admin>, listener: &TcpListener) {
-    let table = admin.table.clone();
+    let table = admin.connections.clone();
     table.accept(listener, || true, move |stream, _| serve(&admin, stream));
 }
 
@@ -49,7 +49,8 @@
     let socket = Socket::new(stream);
     let mut lines = LineReader::default();
     let mut buffer = [0; 512];
-    let (mut spare, mut due) = (admin.table.spare(Rank::Unidentified, &socket), by(CALL_WITHIN));
+    let (mut spare, mut due) =
+        (admin.connections.spare(ShedPriority::Unidentified, &socket), by(CALL_WITHIN));
     loop {
         loop {
             let answer = match lines.next_line() {
@@ -57,10 +58,10 @@
                 ReadLine::TooLong => command::CommandError::TooLong.response().to_owned() + "\n",
                 ReadLine::Incomplete => break,
             };
-            if socket.write(&[answer.as_bytes()], by(TRANSFER)).is_err() || !spare.keep() {
+            if socket.write(&[answer.as_bytes()], by(TRANSFER)).is_err() || !spare.reclaim() {
                 return;
             }
-            (spare, due) = (admin.table.spare(Rank::Idle, &socket), by(IDLE));
+            (spare, due) = (admin.connections.spare(ShedPriority::Idle, &socket), by(IDLE));
         }
         let partial = lines.has_partial_line();
         match socket.read(&mut buffer, due) {
@@ -80,17 +81,19 @@
         Err(wrong) => return wrong.response().to_owned() + "\n",
     };
     match call {
-        Command::Status if admin.inbox.stopping().is_some() => "-ERR not ready: stopping\n".to_owned(),
+        Command::Status if admin.inbox.shutdown_requested_at().is_some() => {
+            "-ERR not ready: stopping\n".to_owned()
+        }
         Command::Status => {
-            let stage = admin.figures.stage().description();
-            let able = admin.inbox.able();
+            let stage = admin.metrics.stage().description();
+            let able = admin.inbox.has_ready_host();
             if able {
                 format!("+OK ready: {stage}\n")
             } else {
                 format!("-ERR not ready: no worker takes work yet: {stage}\n")
             }
         }
-        Command::Metrics => format!("{}\n.\n", admin.figures.render()),
+        Command::Metrics => format!("{}\n.\n", admin.metrics.render()),
         Command::Suspend(id) => change(admin, id, true),
         Command::Restore(id) => change(admin, id, false),
     }
@@ -106,7 +109,7 @@
         SetResult::Changed(generation) => generation,
         SetResult::Unchanged => 0,
     };
-    admin.inbox.nudge();
+    admin.inbox.wake();
     let until = by(TOLD_WITHIN);
     let mut saved = admin.suspensions.saved();
     while (admin.suspensions.applied() < generation || saved.is_err()) && clock::now() < until {
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -1,6 +1,6 @@
 //! The call-backs in which upstream hosts tell what becomes of a stream.
 
-use crate::core::{Inbox, Input, Told};
+use crate::core::{CallbackEvent, Inbox, Input};
 use roselock::Outcome;
 use roselock::settings::{self, Site};
 use serde::Deserialize;
@@ -30,17 +30,17 @@
 pub fn take(body: &[u8], site: &Site, inbox: &Inbox, relayed: bool) -> bool {
     let Ok(c) = serde_json::from_slice::<CallBack>(body) else { return false };
     let told = match &*c.state {
-        "started" => Told::Started,
-        "running" => Told::Progress(c.share),
-        "done" => Told::Ended(Outcome::Ok, c.result.unwrap_or_default().into_bytes()),
-        "failed" => Told::Ended(Outcome::Error, Vec::new()),
-        "returned" => Told::Ended(Outcome::Rejected, Vec::new()),
-        "lost" => Told::Ended(Outcome::Reset, Vec::new()),
+        "started" => CallbackEvent::Started,
+        "running" => CallbackEvent::Progress(c.share),
+        "done" => CallbackEvent::Ended(Outcome::Ok, c.result.unwrap_or_default().into_bytes()),
+        "failed" => CallbackEvent::Ended(Outcome::Error, Vec::new()),
+        "returned" => CallbackEvent::Ended(Outcome::Rejected, Vec::new()),
+        "lost" => CallbackEvent::Ended(Outcome::Reset, Vec::new()),
         _ => return false,
     };
     let gauge = c.load.map(|l| site.load_report(&l)).unwrap_or_default();
     let body = relayed.then(|| body.to_vec());
-    inbox.post(Input::CallBack {
+    inbox.post(Input::Callback {
         id: c.id.into_owned(),
         from: c.from.into_owned(),
         event: told,
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -1,6 +1,6 @@
 //! The list of upstream hosts, and the watch on its changes.
 
-use super::http::{Bad, Reader, by};
+use super::http::{HttpError, Reader, by};
 use super::list::{List, Lists, hosts};
 use super::list_history::ListHistory;
 use super::socket::{ConnectError, LocalRetry, Socket};
@@ -25,11 +25,11 @@
 const NOBODY: Micros = SECOND;
 const DOUBLED: u32 = 3;
 /// Longest line of a watch, and the longest whole list, in bytes: 3,200 workers with 1,300 bytes each.
-const LINE: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Where discovery is, for the watch that asks there and for whoever moves it.
 #[derive(Clone)]
-pub struct Registry {
+pub struct DiscoveryEndpoint {
     place: Arc<Mutex<Place>>,
     /// Lists are pushed: the watch is kept from the first moment on, whether or not it is asked for.
     pushed: Arc<AtomicBool>,
@@ -45,11 +45,15 @@
     socket: Option<Socket>,
 }
 
-impl Registry {
+impl DiscoveryEndpoint {
     /// Discovery at an address; `ask` wakes the watch.
-    pub fn new(at: SocketAddr, ask: Sender<()>, pushed: bool) -> Registry {
+    pub fn new(at: SocketAddr, ask: Sender<()>, pushed: bool) -> DiscoveryEndpoint {
         let place = Place { at, moves: 0, moved_at: 0, socket: None };
-        Registry { place: Arc::new(Mutex::new(place)), pushed: Arc::new(AtomicBool::new(pushed)), ask }
+        DiscoveryEndpoint {
+            place: Arc::new(Mutex::new(place)),
+            pushed: Arc::new(AtomicBool::new(pushed)),
+            ask,
+        }
     }
     fn pushed(&self) -> bool {
         self.pushed.load(Ordering::SeqCst)
@@ -80,13 +84,13 @@
 /// Keeps the watch.
 pub struct Watch {
     /// Where discovery is.
-    pub registry: Registry,
+    pub endpoint: DiscoveryEndpoint,
     /// The version last heard of there; none where discovery has not been heard yet.
     pub rev: Option<u64>,
     /// The latest word of who is there was a whole list of nobody.
-    pub nobody: bool,
+    pub empty_list: bool,
     /// Watches in a row that ended with that.
-    pub in_vain: u32,
+    pub consecutive_empty_lists: u32,
     /// Names met in lists get numbers of their own here.
     pub site: Site,
     /// The way to the decisions.
@@ -94,7 +98,7 @@
     /// Whose hosts these are.
     pub fleet: FleetId,
     /// Where spoilt lists are counted.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
     /// How long after a move the whole list is asked for, and when it will be, unless it is told by then.
     pub resync_after: Micros,
     /// See [`Watch::resync_after`].
@@ -121,12 +125,12 @@
     /// decided here; but a watch that was moved goes on at the new address at once.
     pub fn run(mut self, asked: &Receiver<()>) {
         let mut watched = 0;
-        while self.registry.pushed() || asked.recv().is_ok() {
+        while self.endpoint.pushed() || asked.recv().is_ok() {
             let end = loop {
                 // One watch answers all who asked until now.
                 while asked.try_recv().is_ok() {}
                 let (at, moves, moved_at) = {
-                    let place = self.registry.place();
+                    let place = self.endpoint.place();
                     (place.at, place.moves, place.moved_at)
                 };
                 if moves != watched {
@@ -137,12 +141,12 @@
                 // Who asked while it was open has been answered by it. Before the look at the moves: one that comes
                 // later asks anew.
                 while asked.try_recv().is_ok() {}
-                if self.registry.place().moves == moves {
+                if self.endpoint.place().moves == moves {
                     break end;
                 }
             };
             self.inbox.post(Input::WatchEnded { fleet: self.fleet, end });
-            if self.registry.pushed() {
+            if self.endpoint.pushed() {
                 may::coroutine::sleep(PUSHED);
             }
         }
@@ -152,7 +156,7 @@
     /// move at once. Should its versions be others, that tells too little: the whole list follows later, for each
     /// dispatcher at a place of its own.
     fn moved(&mut self, moved_at: Micros) {
-        self.inbox.post(Input::ListMoved { fleet: self.fleet, at: moved_at });
+        self.inbox.post(Input::DiscoveryMoved { fleet: self.fleet, at: moved_at });
         // Versions there may be others.
         self.history = ListHistory::default();
         let place = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
@@ -165,8 +169,9 @@
         let began = clock::now();
         self.progress = Progress::default();
         let ended = self.watch(at, moves);
-        self.in_vain = if self.nobody { self.in_vain.saturating_add(1) } else { 0 };
-        if self.nobody {
+        self.consecutive_empty_lists =
+            if self.empty_list { self.consecutive_empty_lists.saturating_add(1) } else { 0 };
+        if self.empty_list {
             // The version of such a list says nothing.
             self.rev = None;
         }
@@ -174,7 +179,7 @@
         let reason = match ended {
             _ if self.progress.short => WatchEndReason::LocalFailure,
             _ if !self.progress.reached => WatchEndReason::Unreachable,
-            Err(Bad::Late) => WatchEndReason::Silent,
+            Err(HttpError::Late) => WatchEndReason::Silent,
             _ => WatchEndReason::Refused,
         };
         // What comes before the first word of a watch says that the service does not answer: when it says so itself.
@@ -183,67 +188,67 @@
     }
 
     /// Opens a connection; it is ended by a move. Where this machine is short of something for it, it tries again.
-    fn connect(&mut self, at: SocketAddr, moves: u64) -> Result<Socket, Bad> {
+    fn connect(&mut self, at: SocketAddr, moves: u64) -> Result<Socket, HttpError> {
         let last = by(CONNECT);
         let mut retry = LocalRetry::default();
         let socket = loop {
             match Socket::connect(at, last) {
                 Ok(socket) => break socket,
-                Err(ConnectError::Peer(_)) => return Err(Bad::Broken),
+                Err(ConnectError::Peer(_)) => return Err(HttpError::Broken),
                 Err(ConnectError::Local(why)) => {
                     tracing::debug!("no connection for discovery yet: {why}");
                     if !retry.wait(last) {
                         self.progress.short = true;
-                        return Err(Bad::Broken);
+                        return Err(HttpError::Broken);
                     }
                 }
             }
         };
-        let mut place = self.registry.place();
+        let mut place = self.endpoint.place();
         if place.moves != moves {
-            return Err(Bad::Ended);
+            return Err(HttpError::Ended);
         }
         place.socket = Some(socket.clone());
         Ok(socket)
     }
 
-    fn watch(&mut self, at: SocketAddr, moves: u64) -> Result<(), Bad> {
+    fn watch(&mut self, at: SocketAddr, moves: u64) -> Result<(), HttpError> {
         let mut socket = self.connect(at, moves)?;
         self.progress.reached = true;
         let call = |query: &str| format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {at}\r\n\r\n");
-        let mut reader = Reader::with_body_bound(socket.clone(), LINE);
+        let mut reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
         if self.rev.is_none() {
-            socket.write(&[call("").as_bytes()], by(CONNECT)).map_err(|_| Bad::Broken)?;
+            socket.write(&[call("").as_bytes()], by(CONNECT)).map_err(|_| HttpError::Broken)?;
             let answer = reader.response(by(ANSWER))?;
             if answer.status != 200 {
-                return Err(Bad::Status(answer.status));
+                return Err(HttpError::Status(answer.status));
             }
             match serde_json::from_slice(answer.body()) {
                 Ok(list) => self.take(list)?,
-                Err(e) => self.spoilt(&e.to_string()),
+                Err(e) => self.malformed(&e.to_string()),
             }
             if answer.close {
                 socket = self.connect(at, moves)?;
-                reader = Reader::with_body_bound(socket.clone(), LINE);
+                reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
             }
         }
-        let Some(rev) = self.rev else { return Err(Bad::Status(400)) };
+        let Some(rev) = self.rev else { return Err(HttpError::Status(400)) };
         let query = format!("?watch=1&after={rev}");
-        socket.write(&[call(&query).as_bytes()], by(CONNECT)).map_err(|_| Bad::Broken)?;
+        socket.write(&[call(&query).as_bytes()], by(CONNECT)).map_err(|_| HttpError::Broken)?;
         let head = reader.stream_head(by(ANSWER))?;
         if head.status != 200 {
-            return Err(Bad::Status(head.status));
+            return Err(HttpError::Status(head.status));
         }
         let mut lists = Lists::default();
         let mut again = None;
         let mut silent = by(WATCH_TIMEOUT);
         loop {
-            let ask_again = || by(NOBODY << self.in_vain.min(DOUBLED));
-            again = self.nobody.then(|| again.unwrap_or_else(ask_again));
+            let ask_again = || by(NOBODY << self.consecutive_empty_lists.min(DOUBLED));
+            again = self.empty_list.then(|| again.unwrap_or_else(ask_again));
             let (mut chunk, begun) = (Vec::new(), lists.held() > 0);
             let due = [again, self.resync].into_iter().flatten().fold(silent, Micros::min);
-            match reader.chunk(&mut chunk, LINE, due) {
-                Err(Bad::Late) if self.resync == Some(due) => {
+            match reader.chunk(&mut chunk, MAX_LIST_BYTES, due) {
+                Err(HttpError::Late) if self.resync == Some(due) => {
                     self.rev = None;
                     return Ok(());
                 }
@@ -256,7 +261,7 @@
                 whole = true;
                 match found {
                     Ok(list) => self.take(list)?,
-                    Err(why) => self.spoilt(&why),
+                    Err(why) => self.malformed(&why),
                 }
             }
             // A list that trickles in has no longer than silence has: it tells as little.
@@ -266,8 +271,8 @@
             if lists.held() == 0 {
                 self.heard();
             }
-            if lists.held() > LINE {
-                return Err(Bad::Status(413));
+            if lists.held() > MAX_LIST_BYTES {
+                return Err(HttpError::Status(413));
             }
         }
     }
@@ -280,24 +285,24 @@
     }
 
     /// A list that makes no sense is dropped; the last good one stays.
-    fn spoilt(&self, why: &str) {
-        let count = self.figures.count_malformed_list();
+    fn malformed(&self, why: &str) {
+        let count = self.metrics.count_malformed_list();
         tracing::warn!("discovery: not a list, dropped ({count} so far): {why}");
     }
 
-    fn take(&mut self, mut list: List) -> Result<(), Bad> {
+    fn take(&mut self, mut list: List) -> Result<(), HttpError> {
         if !list.all && self.rev.is_some_and(|rev| list.rev < rev) {
             // Changes of what is not known here, or of long ago: the whole list is asked for.
             tracing::warn!("discovery: changes go back to version {}; the whole list is asked for", list.rev);
             self.rev = None;
-            return Err(Bad::Status(409));
+            return Err(HttpError::Status(409));
         }
         self.rev = Some(list.rev);
         self.progress.word = Some(clock::now());
         self.resync.take_if(|_| list.all);
         // Changes of nothing say nothing of who is there.
-        self.nobody = list.targets.is_empty() && (list.all || self.nobody);
-        if self.nobody {
+        self.empty_list = list.targets.is_empty() && (list.all || self.empty_list);
+        if self.empty_list {
             tracing::warn!("discovery: a list without any host; it is asked for again");
         }
         self.history.admit(&mut list);
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -5,7 +5,7 @@
 mod room;
 mod writer;
 
-use super::connection_limiter::Table;
+use super::connection_limiter::ConnectionLimiter;
 use crate::core::{FleetId, Inbox};
 use may::net::TcpListener;
 use roselock::settings::Site;
@@ -22,7 +22,7 @@
     /// Who runs the streams.
     pub fleet: FleetId,
     /// Its connections; some of them are kept for call-backs, without which no stream would end.
-    pub table: Arc<Table>,
+    pub connections: Arc<ConnectionLimiter>,
     /// Streams held.
     pub held: AtomicUsize,
     /// Bytes that bodies may still take.
@@ -30,7 +30,7 @@
     /// Whether the listener is the platform's, on which the next process accepts once this one stops.
     pub inherited: bool,
     /// The figures of the admin address: who is turned away here is counted here.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
 }
 
 /// The answer to a call-back.
@@ -45,9 +45,9 @@
 
 /// Accepts connections for ever.
 pub fn accept(front: Arc<Front>, listener: &TcpListener) {
-    let table = front.table.clone();
+    let table = front.connections.clone();
     let (inbox, inherited) = (front.inbox.clone(), front.inherited);
-    let go_on = move || !(inherited && inbox.stopping().is_some());
+    let go_on = move || !(inherited && inbox.shutdown_requested_at().is_some());
     table.accept(listener, go_on, move |stream, peer| connection::serve(&front, stream, peer));
     tracing::info!("no more connections are taken: the next process takes them on the inherited listener");
 }
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -6,8 +6,10 @@
 use super::{CALLED_BACK, Front};
 use crate::core::{Input, NewStream, StreamId};
 use crate::wire::callbacks;
-use crate::wire::connection_limiter::{HELLO, INCOMING, Rank, Spare};
-use crate::wire::http::{self, Bad, Message, Reader, by};
+use crate::wire::connection_limiter::{
+    FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
+};
+use crate::wire::http::{self, HttpError, Message, Reader, by};
 use crate::wire::socket::Socket;
 use may::net::TcpStream;
 use roselock::{Micros, SECOND};
@@ -72,7 +74,7 @@
     /// Room for what came behind it, where there is much.
     ahead: Option<Bulk>,
     /// Until it has sent a stream or a call-back, it is among the first to go where there are too many.
-    unidentified: Option<Spare>,
+    unidentified: Option<SheddableConnection>,
     /// Until it has sent anything that makes sense, it has this long.
     hello: Option<Micros>,
 }
@@ -87,8 +89,8 @@
             writer: None,
             pending: None,
             ahead: None,
-            unidentified: Some(front.table.spare(Rank::Unidentified, &socket)),
-            hello: Some(by(HELLO)),
+            unidentified: Some(front.connections.spare(ShedPriority::Unidentified, &socket)),
+            hello: Some(by(FIRST_REQUEST_TIMEOUT)),
             socket,
         }
     }
@@ -115,18 +117,18 @@
     }
 
     /// Waits for the first bytes of a request; none if the connection was shed meanwhile.
-    fn wait(&mut self) -> Option<Result<bool, Bad>> {
+    fn wait(&mut self) -> Option<Result<bool, HttpError>> {
         if self.unidentified.is_some() {
             let due = self.hello.unwrap_or_else(|| by(IDLE));
             return Some(self.reader.fill(due));
         }
-        let spare = self.front.table.spare(Rank::Idle, &self.socket);
+        let spare = self.front.connections.spare(ShedPriority::Idle, &self.socket);
         let filled = self.reader.fill(by(IDLE));
-        spare.keep().then_some(filled)
+        spare.reclaim().then_some(filled)
     }
 
     /// Reads what comes behind a held stream: it watches for the client's leaving, whatever has come.
-    fn read_ahead(&mut self) -> Result<bool, Bad> {
+    fn read_ahead(&mut self) -> Result<bool, HttpError> {
         let held = self.reader.held().len();
         self.note_behind(held > 0);
         if held == 0 {
@@ -149,19 +151,19 @@
     }
 
     /// Whether the held stream's answer has been written, or its client has left.
-    fn look_for_answer(&mut self, stream: StreamId, filled: Result<bool, Bad>) -> Next {
+    fn look_for_answer(&mut self, stream: StreamId, filled: Result<bool, HttpError>) -> Next {
         let Some(writer) = &self.writer else { return Next::End };
-        let stays = matches!(filled, Ok(true) | Err(Bad::Late));
+        let stays = matches!(filled, Ok(true) | Err(HttpError::Late));
         let became = match writer.written.try_recv() {
             Ok(became) => became,
             Err(_) if stays => return Next::Again,
             Err(_) => {
                 writer.exchange().held = None;
-                self.front.inbox.post(Input::Left(stream));
+                self.front.inbox.post(Input::ClientDisconnected(stream));
                 return Next::End;
             }
         };
-        let kept = writer.exchange().spare.take().is_none_or(Spare::keep);
+        let kept = writer.exchange().spare.take().is_none_or(SheddableConnection::reclaim);
         match became {
             Written::Kept if kept => self.pending = None,
             Written::Broken => return Next::End,
@@ -175,8 +177,8 @@
     fn take_message(&mut self) -> Next {
         let due = match (self.hello, self.reader.began()) {
             (Some(due), _) => due,
-            (None, Some(began)) => began + INCOMING,
-            (None, None) => by(INCOMING),
+            (None, Some(began)) => began + REQUEST_READ_TIMEOUT,
+            (None, None) => by(REQUEST_READ_TIMEOUT),
         };
         match self.read_message(due) {
             Ok((message, bulk)) => self.take(message, bulk),
@@ -184,18 +186,18 @@
         }
     }
 
-    fn read_message(&mut self, due: Micros) -> Result<(Message, Bulk), Bad> {
+    fn read_message(&mut self, due: Micros) -> Result<(Message, Bulk), HttpError> {
         let head = self.reader.request(due)?;
-        let bulk = Bulk::new(self.front, head.0.bulk()).ok_or(Bad::Status(503))?;
+        let bulk = Bulk::new(self.front, head.0.bulk()).ok_or(HttpError::Status(503))?;
         Ok((self.reader.request_body(head, due)?, bulk))
     }
 
     /// Answers what is no message, and ends the connection.
-    fn reject(&mut self, bad: Bad) -> Next {
+    fn reject(&mut self, bad: HttpError) -> Next {
         let status = match bad {
-            Bad::Status(status) => status,
-            Bad::Late => 408,
-            Bad::Ended | Bad::Broken => {
+            HttpError::Status(status) => status,
+            HttpError::Late => 408,
+            HttpError::Ended | HttpError::Broken => {
                 let partial = !self.reader.is_empty();
                 tracing::debug!(peer = %self.peer, partial, "connection ended: {bad:?}");
                 return if self.reader.is_sealed() { Next::Close } else { Next::End };
@@ -219,7 +221,7 @@
                 // Whose first word made no sense need not stay.
                 let astray = self.hello.is_some() && (400..500).contains(&status);
                 // A further request that has been read is owed an answer, too.
-                let ends = self.front.inbox.closes_connections() && self.reader.is_empty();
+                let ends = self.front.inbox.is_closing_connections() && self.reader.is_empty();
                 let close = wanted || astray || ends;
                 let sent =
                     http::respond(&self.socket, status, more, body.as_bytes(), close, by(CLOSING_TIMEOUT));
@@ -243,8 +245,8 @@
                 Routed::Reply(if known { CALLED_BACK } else { 400 }, "", "")
             }
             ("GET", "/health/ready") => {
-                let ready = front.inbox.able() && front.inbox.stopping().is_none();
-                Routed::Reply(if ready { 200 } else { 503 }, "", front.figures.stage().description())
+                let ready = front.inbox.has_ready_host() && front.inbox.shutdown_requested_at().is_none();
+                Routed::Reply(if ready { 200 } else { 503 }, "", front.metrics.stage().description())
             }
             ("POST", _) => self.hold(message, bulk),
             (_, callbacks::PATH) => Routed::Reply(405, "Allow: POST\r\n", ""),
@@ -259,21 +261,21 @@
         let Some(new) = stream_of(front, message, self.peer) else { return Routed::Reply(400, "", "") };
         let class = new.class.0 as usize;
         let Some(held) = Held::new(front, bulk) else {
-            front.figures.job_ended(class, JobResult::Deferred, false);
+            front.metrics.job_ended(class, JobResult::Deferred, false);
             return Routed::Reply(503, after(503), "");
         };
         // Whose request is passed on has to stay for the answer.
-        if self.unidentified.take().is_some_and(|spare| !spare.keep()) {
+        if self.unidentified.take().is_some_and(|spare| !spare.reclaim()) {
             return Routed::Shed;
         }
         let writer = self.writer.get_or_insert_with(|| Writer::start(front, &self.socket));
         (writer.exchange().held, writer.exchange().close) = (Some(held), close);
         let id = front.inbox.stream_id();
         let new = NewStream { id, downstream: writer.downstream(&front.inbox), ..new };
-        if !front.inbox.enter(Box::new(new)) {
+        if !front.inbox.submit(Box::new(new)) {
             // The process ends, and this stream came a moment too late.
             writer.exchange().held = None;
-            front.figures.job_ended(class, JobResult::Deferred, false);
+            front.metrics.job_ended(class, JobResult::Deferred, false);
             return Routed::Reply(503, after(503), "");
         }
         Routed::Held(id)
@@ -281,7 +283,7 @@
 
     /// Lets the last answer arrive: closing with bytes unread would reset the connection under it.
     fn close(&mut self) {
-        let _spare = self.front.table.spare(Rank::Closing, &self.socket);
+        let _spare = self.front.connections.spare(ShedPriority::Closing, &self.socket);
         self.socket.finish();
         let (last, mut left) = (by(CLOSING_MOST), CLOSING_BYTES);
         while left > 0 && self.reader.skip(by(CLOSING_TIMEOUT).min(last)) == Ok(true) {
--- a/dispatcher/src/wire/front/request.rs
+++ b/dispatcher/src/wire/front/request.rs
@@ -56,7 +56,7 @@
         slots: figure(info, "slots").unwrap_or(1.0),
         memory: figure(info, "memory").unwrap_or(0.0),
         hint: message.value("x-call-cost").and_then(work_hint),
-        ran: 0,
+        prior_attempts: 0,
         deadline: message.arrived + (budget.min(PATIENCE) * SECOND as f64) as Micros,
         peer,
         downstream: Box::new(Nobody),
--- a/dispatcher/src/wire/front/room.rs
+++ b/dispatcher/src/wire/front/room.rs
@@ -33,7 +33,9 @@
     pub(super) fn new(front: &Arc<Front>, bulk: Bulk) -> Option<Held> {
         let held = Held { front: front.clone(), _bulk: bulk };
         let others = front.held.fetch_add(1, Ordering::SeqCst);
-        (others + FOR_CALL_BACKS.min(front.table.most / 4) < front.table.most).then_some(held)
+        (others + FOR_CALL_BACKS.min(front.connections.max_connections / 4)
+            < front.connections.max_connections)
+            .then_some(held)
     }
 }
 
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -3,7 +3,7 @@
 use super::room::Held;
 use super::{Front, lock};
 use crate::core::{Answer, Downstream, Inbox};
-use crate::wire::connection_limiter::{Rank, Spare};
+use crate::wire::connection_limiter::{ShedPriority, SheddableConnection};
 use crate::wire::http::{self, by};
 use crate::wire::socket::Socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
@@ -21,9 +21,9 @@
 
 impl Downstream for AnswerSender {
     fn answer(&self, answer: Answer, _ran: u32) {
-        self.inbox.owe_write();
+        self.inbox.response_pending();
         if self.answers.send(answer).is_err() {
-            self.inbox.wrote();
+            self.inbox.response_written();
         }
     }
 }
@@ -59,7 +59,7 @@
     /// Something of the next request has been read: it is owed an answer, so the connection goes on.
     pub(super) behind: bool,
     /// The connection may go.
-    pub(super) spare: Option<Spare>,
+    pub(super) spare: Option<SheddableConnection>,
 }
 
 impl Writer {
@@ -73,7 +73,7 @@
             while let Ok(answer) = posted.recv() {
                 let became = write_and_end(&front, &socket, &shared, &answer);
                 // From here on the process may end: the connection is among those that are told so.
-                front.inbox.wrote();
+                front.inbox.response_written();
                 if done.send(became).is_err() {
                     break;
                 }
@@ -101,7 +101,7 @@
         let exchange = lock(shared);
         (exchange.close, exchange.behind)
     };
-    let close = astray || wanted || (front.inbox.closes_connections() && !behind);
+    let close = astray || wanted || (front.inbox.is_closing_connections() && !behind);
     let became = match write_answer(socket, answer, close) {
         Ok(()) if close => Written::Closed,
         Ok(()) => Written::Kept,
@@ -115,8 +115,8 @@
     let mut exchange = lock(shared);
     // A request that has been read is owed an answer: its connection is not among those that may go.
     let needed = became == Written::Kept && exchange.behind;
-    let rank = if close { Rank::Closing } else { Rank::Idle };
-    let spare = (!needed).then(|| front.table.spare(rank, socket));
+    let rank = if close { ShedPriority::Closing } else { ShedPriority::Idle };
+    let spare = (!needed).then(|| front.connections.spare(rank, socket));
     *exchange = Exchange { spare, ..Exchange::default() };
     became
 }
@@ -125,8 +125,8 @@
     let by = by(TRANSFER);
     match answer {
         Answer::Served(body) => http::respond(socket, 200, "", body, close, by),
-        Answer::Refused(0) => http::respond(socket, 503, "", b"", close, by),
-        Answer::Refused(after) => {
+        Answer::Rejected(0) => http::respond(socket, 503, "", b"", close, by),
+        Answer::Rejected(after) => {
             let after = format!("Retry-After: {:.3}\r\n", *after as f64 / SECOND as f64);
             http::respond(socket, 503, &after, b"", close, by)
         }
--- a/dispatcher/src/wire/gearman/admin.rs
+++ b/dispatcher/src/wire/gearman/admin.rs
@@ -156,7 +156,7 @@
             if ended.background {
                 front.log_lost(&ended, "cancelled by an administrator");
             }
-            stream.into_iter().for_each(|s| front.inbox.post(crate::core::Input::Left(s)));
+            stream.into_iter().for_each(|s| front.inbox.post(crate::core::Input::ClientDisconnected(s)));
             "OK\n".into()
         }
         Cancellation::Running => err("JOB_RUNS", "a worker has it, or may have had it"),
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -2,7 +2,9 @@
 
 use super::outbox::{self, Outbox, OutboxMessage};
 use super::{Gearman, Peer, TRANSFER, admin, error, jobs, lock, reply};
-use crate::wire::connection_limiter::{HELLO, INCOMING, Rank, Spare};
+use crate::wire::connection_limiter::{
+    FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
+};
 use crate::wire::http::by;
 use crate::wire::socket::Socket;
 use may::net::{TcpListener, TcpStream};
@@ -26,7 +28,7 @@
 
 /// Accepts connections for ever.
 pub fn accept(front: Arc<Gearman>, listener: &TcpListener) {
-    let table = front.table.clone();
+    let table = front.connections.clone();
     table.accept(listener, || true, move |stream, address| serve(&front, stream, address));
 }
 
@@ -65,15 +67,15 @@
     let mut buffer = vec![0; CHUNK];
     let mut exceptions = false;
     // Until it has sent a packet it has this long, and is among the first to go where there are too many.
-    let hello = by(HELLO);
-    let mut unidentified = Some(front.table.spare(Rank::Unidentified, socket));
+    let hello = by(FIRST_REQUEST_TIMEOUT);
+    let mut unidentified = Some(front.connections.spare(ShedPriority::Unidentified, socket));
     let mut whole_by = 0;
     loop {
         let engaged =
             lock(&peer.worker).is_worker() || lock(&front.jobs).backlog.jobs_awaited_by(peer.number) > 0;
         let inside = decoder.is_inside();
-        let idle =
-            (unidentified.is_none() && !engaged && !inside).then(|| front.table.spare(Rank::Idle, socket));
+        let idle = (unidentified.is_none() && !engaged && !inside)
+            .then(|| front.connections.spare(ShedPriority::Idle, socket));
         let until = match (&unidentified, inside) {
             (Some(_), _) => hello,
             (_, true) => whole_by,
@@ -84,7 +86,7 @@
             socket.acknowledge();
         }
         let came = socket.read(&mut buffer, until);
-        if !idle.is_none_or(Spare::keep) {
+        if !idle.is_none_or(SheddableConnection::reclaim) {
             return;
         }
         let n = match came {
@@ -96,7 +98,7 @@
             Err(_) => return,
         };
         if !decoder.is_inside() {
-            whole_by = by(INCOMING);
+            whole_by = by(REQUEST_READ_TIMEOUT);
         }
         decoder.feed(&buffer[..n]);
         loop {
@@ -110,16 +112,16 @@
                 }
             };
             if let Frame::Large(kind, size) = frame {
-                whole_by = by(INCOMING + size as Micros * SECOND / PACE);
+                whole_by = by(REQUEST_READ_TIMEOUT + size as Micros * SECOND / PACE);
                 if jobs::submits(kind) && !jobs::has_room_for(front, size) {
                     decoder.skip();
                 }
                 continue;
             }
-            if !unidentified.take().is_none_or(Spare::keep) {
+            if !unidentified.take().is_none_or(SheddableConnection::reclaim) {
                 return;
             }
-            whole_by = by(INCOMING);
+            whole_by = by(REQUEST_READ_TIMEOUT);
             if !heed_frame(front, peer, frame, &mut exceptions) {
                 return;
             }
@@ -212,7 +214,7 @@
     pub(super) fn stop(&self) {
         if !self.told_to_stop.swap(true, Ordering::SeqCst) {
             tracing::info!("gearman: told to stop by an administrator");
-            self.inbox.stop();
+            self.inbox.request_shutdown();
         }
     }
 }
--- a/dispatcher/src/wire/gearman/file.rs
+++ b/dispatcher/src/wire/gearman/file.rs
@@ -1,7 +1,7 @@
 //! The front's settings: what the operators' file says, and what follows from it.
 
 use crate::core::FleetId;
-use crate::lifecycle::settings_error::Problem;
+use crate::lifecycle::settings_error::ConfigError;
 use roselock::settings::Site;
 use roselock::{ClassId, Idempotency, Micros, SECOND, Settings, TenantId};
 use roselock_backlog::{Bounds, FunctionSettings, Window};
@@ -224,41 +224,52 @@
     value: &Option<Spanned<f64>>,
     default: f64,
     (least, most): (f64, f64),
-) -> Result<f64, Problem> {
+) -> Result<f64, ConfigError> {
     let Some(told) = value else { return Ok(default) };
     let x = *told.get_ref();
     if x >= least && x <= most {
         return Ok(x);
     }
-    Err(Problem::new(told.span(), key, format!("{x} is out of range"), format!("between {least} and {most}")))
+    Err(ConfigError::new(
+        told.span(),
+        key,
+        format!("{x} is out of range"),
+        format!("between {least} and {most}"),
+    ))
 }
 
-fn kib(key: &str, value: &Option<Spanned<usize>>, default: usize, most: usize) -> Result<usize, Problem> {
+fn kib(key: &str, value: &Option<Spanned<usize>>, default: usize, most: usize) -> Result<usize, ConfigError> {
     let Some(told) = value else { return Ok(default << 10) };
     let n = *told.get_ref();
     if (1..=most).contains(&n) {
         return Ok(n << 10);
     }
-    Err(Problem::new(told.span(), key, format!("{n} is out of range"), format!("between 1 and {most} KiB")))
+    Err(ConfigError::new(
+        told.span(),
+        key,
+        format!("{n} is out of range"),
+        format!("between 1 and {most} KiB"),
+    ))
 }
 
 /// Checks the front's figures, given the bytes that it may take for jobs.
-pub fn figures(file: &File, bytes: usize) -> Result<Figures, Problem> {
+pub fn figures(file: &File, bytes: usize) -> Result<Figures, ConfigError> {
     let zone = match &file.timezone {
         None => jiff::tz::TimeZone::UTC,
-        Some(name) => roselock_backlog::time_zone(name.get_ref())
-            .map_err(|e| Problem::new(name.span(), "timezone", e, "a name such as UTC or Europe/Madrid"))?,
+        Some(name) => roselock_backlog::time_zone(name.get_ref()).map_err(|e| {
+            ConfigError::new(name.span(), "timezone", e, "a name such as UTC or Europe/Madrid")
+        })?,
     };
     if file.max_functions == 0 || file.max_functions < file.function.len() {
         let cure = format!("at least {}", file.function.len().max(1));
-        return Err(Problem::new(None, "max_functions", "fewer than the file names", cure));
+        return Err(ConfigError::new(None, "max_functions", "fewer than the file names", cure));
     }
     if file.max_functions > MOST_FUNCTIONS {
         let cure = format!("at most {MOST_FUNCTIONS}");
-        return Err(Problem::new(None, "max_functions", "each has its own decisions", cure));
+        return Err(ConfigError::new(None, "max_functions", "each has its own decisions", cure));
     }
     if file.max_jobs == 0 {
-        return Err(Problem::new(None, "max_jobs", "no job would be taken", "at least 1"));
+        return Err(ConfigError::new(None, "max_jobs", "no job would be taken", "at least 1"));
     }
     within("cold_s", &file.cold_s, 0.0, (0.0, LONGEST_RUN))?;
     within("tick_ms", &file.tick_ms, 0.2, (0.05, 100.0))?;
@@ -275,18 +286,18 @@
 }
 
 /// Checks one function against the settings. It gets the HTTP fleet until one of its own is made.
-pub fn function(entry: &FunctionEntry, name: &str, site: &Site) -> Result<Function, Problem> {
+pub fn function(entry: &FunctionEntry, name: &str, site: &Site) -> Result<Function, ConfigError> {
     let class = |key: &str, told: &Spanned<String>| {
         let known = site.classes.known(told.get_ref()).map(|c| ClassId(c as u16));
         known.ok_or_else(|| {
             let cure = format!("one of: {}", site.classes.names().join(", "));
-            Problem::new(told.span(), key, format!("unknown class {:?}", told.get_ref()), cure)
+            ConfigError::new(told.span(), key, format!("unknown class {:?}", told.get_ref()), cure)
         })
     };
     let tenant = match &entry.tenant {
         Some(told) => Some(site.tenants.known(told.get_ref()).ok_or_else(|| {
             let cure = format!("one of: {}", site.tenants.names().join(", "));
-            Problem::new(told.span(), "tenant", format!("unknown tenant {:?}", told.get_ref()), cure)
+            ConfigError::new(told.span(), "tenant", format!("unknown tenant {:?}", told.get_ref()), cure)
         })?),
         None => None,
     };
@@ -295,7 +306,12 @@
         path if path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic()) => Some(path.to_owned()),
         other => {
             let cure = "\"gearman\", or a path such as \"/api/pay\"";
-            return Err(Problem::new(entry.target.span(), "target", format!("{other:?} is neither"), cure));
+            return Err(ConfigError::new(
+                entry.target.span(),
+                "target",
+                format!("{other:?} is neither"),
+                cure,
+            ));
         }
     };
     let ordinary = class("class", &entry.class)?;
@@ -350,15 +366,20 @@
 }
 
 /// Checks all functions that the file names.
-pub fn functions(file: &File, site: &Site) -> Result<Vec<Function>, Problem> {
+pub fn functions(file: &File, site: &Site) -> Result<Vec<Function>, ConfigError> {
     let mut functions: Vec<Function> = Vec::new();
     for entry in &file.function {
         let Some(name) = &entry.name else {
-            return Err(Problem::new(entry.class.span(), "name", "a function has none", "name = \"...\""));
+            return Err(ConfigError::new(
+                entry.class.span(),
+                "name",
+                "a function has none",
+                "name = \"...\"",
+            ));
         };
         if !is_name(name.get_ref().as_bytes()) {
             let cure = "1 to 512 bytes without blanks";
-            return Err(Problem::new(
+            return Err(ConfigError::new(
                 name.span(),
                 "name",
                 format!("{:?} is no function's name", name.get_ref()),
@@ -367,18 +388,18 @@
         }
         if functions.iter().any(|f| f.name == *name.get_ref()) {
             let what = format!("{:?} is named twice", name.get_ref());
-            return Err(Problem::new(name.span(), "name", what, "leave one of the two out"));
+            return Err(ConfigError::new(name.span(), "name", what, "leave one of the two out"));
         }
         functions.push(function(entry, name.get_ref(), site)?);
     }
     if let Some(entry) = &file.default {
         if let Some(name) = &entry.name {
             let what = "the entry for functions that are not named has one";
-            return Err(Problem::new(name.span(), "default.name", what, "leave it out"));
+            return Err(ConfigError::new(name.span(), "default.name", what, "leave it out"));
         }
         if function(entry, "default", site)?.path.is_some() {
             let what = "functions that are not named go to Gearman workers";
-            return Err(Problem::new(entry.target.span(), "default.target", what, "\"gearman\""));
+            return Err(ConfigError::new(entry.target.span(), "default.target", what, "\"gearman\""));
         }
     }
     Ok(functions)
--- a/dispatcher/src/wire/gearman/jobs.rs
+++ b/dispatcher/src/wire/gearman/jobs.rs
@@ -1,7 +1,7 @@
 //! The clients' side: jobs, who waits for them, and their last words.
 
 use super::{Gearman, Jobs, Peer, Tail, error, lock, reply};
-use crate::core::{Answer, Downstream, Feed, Input, NewStream, Payload, Saying, StreamId, clock};
+use crate::core::{Answer, Downstream, Input, JobSource, NewStream, OutputKind, Payload, StreamId, clock};
 use roselock::{Micros, SECOND};
 use roselock_backlog::{Completion, EndedJob, Ending, Job, JobNo, NewJob, Rejection, State, Waiter};
 use roselock_gearman::{Kind, Packet, Submission, When, submit::Invalid};
@@ -87,7 +87,7 @@
         Err(text) => return Some(error("INVALID_ARGUMENTS", text)),
     };
     let parted = front.parted.load(std::sync::atomic::Ordering::SeqCst);
-    if parted || (front.inbox.stopping().is_some() && (job.background || not_before.is_some())) {
+    if parted || (front.inbox.shutdown_requested_at().is_some() && (job.background || not_before.is_some())) {
         // It would be lost with the process.
         return Some(error("SHUTTING_DOWN", "this server is about to end; submit elsewhere, or again later"));
     }
@@ -168,10 +168,10 @@
     Payload {
         raw: Arc::new(raw),
         id: 0..0,
-        given: None,
+        assigned_id: None,
         method,
         target,
-        beside: reducer,
+        reducer: reducer,
         body,
         ..Payload::default()
     }
@@ -205,14 +205,14 @@
     jobs.ends.left += waited;
     let nudge = front.nudge(&mut jobs);
     drop(jobs);
-    left.into_iter().for_each(|stream| front.inbox.post(Input::Left(stream)));
+    left.into_iter().for_each(|stream| front.inbox.post(Input::ClientDisconnected(stream)));
     front.wake_owner(nudge);
 }
 
 /// What the owner draws streams from.
 pub struct Queue(pub Arc<Gearman>);
 
-impl Feed for Queue {
+impl JobSource for Queue {
     fn next(&self, now: Micros) -> Option<NewStream> {
         let front = &self.0;
         let mut jobs = lock(&front.jobs);
@@ -229,10 +229,10 @@
         let payload = Payload {
             raw: template.raw.clone(),
             id: 0..0,
-            given: Some(format!("{:016x}-{}-{}", front.life, released.no, released.earlier_releases)),
+            assigned_id: Some(format!("{:016x}-{}-{}", front.life, released.no, released.earlier_releases)),
             method: template.method.clone(),
             target: template.target.clone(),
-            beside: template.beside.clone(),
+            reducer: template.reducer.clone(),
             body: template.body.clone(),
             ..Payload::default()
         };
@@ -247,7 +247,7 @@
             memory: 0.0,
             hint: None,
             deadline: released.deadline,
-            ran: released.attempts,
+            prior_attempts: released.attempts,
             peer,
             payload: Arc::new(payload),
             downstream: Box::new(Waiters {
@@ -260,11 +260,11 @@
         })
     }
 
-    fn due(&self) -> Option<Micros> {
+    fn next_due(&self) -> Option<Micros> {
         lock(&self.0.jobs).backlog.next_release_at()
     }
 
-    fn part(&self) {
+    fn shut_down(&self) {
         self.0.part();
     }
 }
@@ -290,7 +290,7 @@
     fn answer(&self, answer: Answer, ran: u32) {
         let ending = match &answer {
             Answer::Served(_) => Ending::Served,
-            Answer::Refused(_) | Answer::Conflict => Ending::Refused,
+            Answer::Rejected(_) | Answer::Conflict => Ending::Refused,
             Answer::Failed => Ending::Failed,
             Answer::TimedOut => Ending::TimedOut,
         };
@@ -322,7 +322,7 @@
                     waiter.with.peer.last_word(front, head.clone(), Tail::Bytes(body.clone()));
                 }
             }
-            Answer::Refused(after) => front.last_words(&ended, refusal(after).as_bytes()),
+            Answer::Rejected(after) => front.last_words(&ended, refusal(after).as_bytes()),
             Answer::Conflict => front.last_words(&ended, b"refused; trying again is harmless"),
             Answer::Failed => {
                 let why = ended.exception.clone();
@@ -349,13 +349,13 @@
         let status = reply(Kind::WorkStatus, &[&args[0], &args[1], &args[2]]);
         self.with_seats(&jobs, |seat| seat.peer.outbox.tell(status.clone()));
     }
-    fn say(&self, saying: Saying, bytes: &[u8]) {
+    fn output(&self, saying: OutputKind, bytes: &[u8]) {
         let mut jobs = lock(&self.front.jobs);
         let kind = match saying {
-            Saying::Data => Kind::WorkData,
-            Saying::Warning => Kind::WorkWarning,
+            OutputKind::Data => Kind::WorkData,
+            OutputKind::Warning => Kind::WorkWarning,
             // Told with the job's end: the attempt that raised it may not be the last.
-            Saying::Exception => return jobs.backlog.set_exception(self.no, bytes.to_vec()),
+            OutputKind::Exception => return jobs.backlog.set_exception(self.no, bytes.to_vec()),
         };
         let said = reply(kind, &[self.front.handle(self.no).as_bytes(), bytes]);
         self.with_seats(&jobs, |seat| seat.peer.send(said.clone()));
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -11,7 +11,7 @@
 mod timers;
 mod worker;
 
-use super::connection_limiter::Table;
+use super::connection_limiter::ConnectionLimiter;
 use crate::core::{FleetId, Inbox, Input};
 use arc_swap::ArcSwap;
 pub use connection::accept;
@@ -79,7 +79,7 @@
     timed: Mutex<std::collections::BTreeSet<(Micros, u64)>>,
     /// What handles and ids begin with: new with every life.
     life: u64,
-    table: Arc<Table>,
+    connections: Arc<ConnectionLimiter>,
     verbose: AtomicUsize,
     /// Told by an administrator to end.
     told_to_stop: AtomicBool,
@@ -131,7 +131,7 @@
             next_peer: AtomicU64::new(1),
             timed: Mutex::default(),
             life,
-            table: Table::new(most),
+            connections: ConnectionLimiter::new(most),
             verbose: AtomicUsize::new(0),
             told_to_stop: AtomicBool::new(false),
             parted: AtomicBool::new(false),
@@ -198,9 +198,9 @@
     }
     /// Hands over a job's last word; the process does not end before it is written.
     fn last_word(&self, front: &Gearman, head: Vec<u8>, tail: Tail) {
-        front.inbox.owe_write();
+        front.inbox.response_pending();
         if !self.outbox.write(head, tail, true) {
-            front.inbox.wrote();
+            front.inbox.response_written();
         }
     }
 }
--- a/dispatcher/src/wire/gearman/outbox.rs
+++ b/dispatcher/src/wire/gearman/outbox.rs
@@ -133,14 +133,14 @@
                 Some(waiting.saturating_sub(size))
             });
             if last {
-                front.inbox.wrote();
+                front.inbox.response_written();
             }
         }
     }
     // What was posted meanwhile finds nobody: attempts never ran, answers have no reader.
     while let Ok(message) = posted.try_recv() {
         match message {
-            OutboxMessage::Write(_, _, true) => front.inbox.wrote(),
+            OutboxMessage::Write(_, _, true) => front.inbox.response_written(),
             OutboxMessage::Start(request, _) => worker::never_ran(front, Held::id_of(&request), true),
             _ => {}
         }
--- a/dispatcher/src/wire/gearman/reload.rs
+++ b/dispatcher/src/wire/gearman/reload.rs
@@ -3,7 +3,7 @@
 use super::file::{self, File, Function};
 use super::{Gearman, Tally, lock};
 use crate::core::Input;
-use crate::lifecycle::settings_error::Problem;
+use crate::lifecycle::settings_error::ConfigError;
 use roselock::settings::{Site, fnv};
 use std::sync::Arc;
 
@@ -45,7 +45,7 @@
             *next_fleet += 1;
             let set = file::settings(&self.site.load(), &self.file.load());
             let seed = self.seed ^ fnv(function.name.as_bytes());
-            self.inbox.post(Input::Fleet { fleet: function.fleet, settings: Box::new(set), seed });
+            self.inbox.post(Input::FleetAdded { fleet: function.fleet, settings: Box::new(set), seed });
         }
         let mut jobs = lock(&self.jobs);
         let f = jobs.backlog.add(function.queue.clone());
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// What is wrong with it; then nothing has changed.
-    pub fn reload(&self, new: File, site: Arc<Site>) -> Result<Vec<String>, Problem> {
+    pub fn reload(&self, new: File, site: Arc<Site>) -> Result<Vec<String>, ConfigError> {
         let functions = file::functions(&new, &site)?;
         let figures = file::figures(&new, self.figures.bounds.bytes)?;
         let mut later = Vec::new();
@@ -95,7 +95,7 @@
         let registry = self.functions();
         for function in registry.all.iter().filter(|f| f.by_workers()) {
             let set = file::settings(&self.site.load(), &self.file.load());
-            self.inbox.post(Input::Settings { fleet: function.fleet, settings: Box::new(set) });
+            self.inbox.post(Input::SettingsChanged { fleet: function.fleet, settings: Box::new(set) });
         }
         for (f, function) in registry.all.iter().enumerate() {
             if !open && !named.contains(&function.name) {
--- a/dispatcher/src/wire/gearman/worker.rs
+++ b/dispatcher/src/wire/gearman/worker.rs
@@ -2,7 +2,8 @@
 
 use super::{Gearman, OutboxMessage, Peer, Tail, error, lock, reply};
 use crate::core::{
-    Ask, Heard, Input, Link, LinkIs, ListedHost, Payload, Saying, UpstreamId, UpstreamRequest, clock,
+    ConnectionState, Input, ListedHost, OutputKind, Payload, RequestKind, UpstreamConnection, UpstreamEvent,
+    UpstreamId, UpstreamRequest, clock,
 };
 use roselock::settings::fnv;
 use roselock::{CellId, Endpoint, EndpointState, KindId, ListMode, LoadReport, Micros, Outcome, WorkerId};
@@ -37,7 +38,7 @@
     }
     /// Its job, by the id that was given to this turn of it.
     fn job_no(&self) -> Option<u64> {
-        self.payload.given.as_ref()?.split('-').nth(1)?.parse().ok()
+        self.payload.assigned_id.as_ref()?.split('-').nth(1)?.parse().ok()
     }
 }
 
@@ -62,25 +63,28 @@
     function: usize,
 }
 
-impl Link for WorkerLink {
+impl UpstreamConnection for WorkerLink {
     fn start(&self, request: UpstreamRequest) -> bool {
         self.peer.outbox.post(OutboxMessage::Start(request, self.function))
     }
     fn abort(&self, id: UpstreamId) {
         let _ = self.peer.outbox.post(OutboxMessage::Abort(id));
     }
-    fn resident(&self) -> bool {
+    fn is_inbound(&self) -> bool {
         true
     }
 }
 
 /// Tells of an attempt that no worker has seen: its connection was gone, or its hands were full.
 pub fn never_ran(front: &Gearman, id: UpstreamId, gone: bool) {
-    let (outcome, link) =
-        if gone { (Outcome::ConnectFailed, LinkIs::Closed) } else { (Outcome::Rejected, LinkIs::Free) };
+    let (outcome, link) = if gone {
+        (Outcome::ConnectFailed, ConnectionState::Closed)
+    } else {
+        (Outcome::Rejected, ConnectionState::Free)
+    };
     front.inbox.post(Input::Upstream {
         id,
-        event: Heard::Ended { outcome, report: report(), body: Vec::new() },
+        event: UpstreamEvent::Ended { outcome, report: report(), body: Vec::new() },
         connection: link,
     });
 }
@@ -156,7 +160,7 @@
             let worker = self.worker_id();
             let own = old.engaged.or(new.engaged);
             for f in new.able.iter().filter(|f| Some(**f) != own) {
-                front.inbox.post(Input::Room {
+                front.inbox.post(Input::Capacity {
                     fleet: registry.all[*f].fleet,
                     worker,
                     free_slots: new.fit as u8 as f64,
@@ -178,8 +182,8 @@
             started_at: lock(&self.worker).since(),
         };
         let link = WorkerLink { peer: self.clone(), function };
-        let link = (state != EndpointState::Gone).then(|| Arc::new(link) as Arc<dyn Link>);
-        let host = ListedHost { uid: self.uid(), endpoint: None, entry, link };
+        let link = (state != EndpointState::Gone).then(|| Arc::new(link) as Arc<dyn UpstreamConnection>);
+        let host = ListedHost { uid: self.uid(), address: None, endpoint: entry, connection: link };
         let fleet = front.functions.load().all[function].fleet;
         front.inbox.post(Input::Hosts { fleet, mode: ListMode::Changes, hosts: vec![host] });
     }
@@ -200,7 +204,7 @@
         self.list(front, f, EndpointState::Ready);
         let busy = lock(&self.worker).is_engaged();
         let fleet = front.functions.load().all[f].fleet;
-        front.inbox.post(Input::Room {
+        front.inbox.post(Input::Capacity {
             fleet,
             worker: self.worker_id(),
             free_slots: if busy { 0.0 } else { 1.0 },
@@ -251,7 +255,7 @@
         request: UpstreamRequest,
         function: usize,
     ) -> Option<Vec<u8>> {
-        let Ask::Run(payload) = request.ask else { return None };
+        let RequestKind::Run(payload) = request.ask else { return None };
         let held = Held { id: request.id, function, payload, grabbed: 0 };
         let by = clock::now() + front.figures.grab;
         match self.change(front, |w| w.choose(function, held, by)) {
@@ -301,11 +305,15 @@
             return (!waits).then(|| reply(Kind::NoJob, &[]));
         };
         lock(&self.worker).running_mut(&handle(id)).into_iter().for_each(|held| held.grabbed = now);
-        front.inbox.post(Input::Upstream { id, event: Heard::Started, connection: LinkIs::Busy });
+        front.inbox.post(Input::Upstream {
+            id,
+            event: UpstreamEvent::Started,
+            connection: ConnectionState::Busy,
+        });
         let registry = front.functions.load();
         let name =
             registry.find(p.part(&p.method)).map_or(p.part(&p.method), |f| registry.all[f].name.as_bytes());
-        let (handle, unique, reducer) = (handle(id), p.part(&p.target), p.part(&p.beside));
+        let (handle, unique, reducer) = (handle(id), p.part(&p.target), p.part(&p.reducer));
         let mut head = match kind {
             Kind::GrabJobUniq => reply(Kind::JobAssignUniq, &[&handle, name, unique, b""]),
             Kind::GrabJobAll => reply(Kind::JobAssignAll, &[&handle, name, unique, reducer, b""]),
@@ -332,26 +340,26 @@
                 let mut jobs = lock(&front.jobs);
                 jobs.backlog.set_progress(no, done, of);
                 let share = if of > 0 { done as f64 / of as f64 } else { 0.0 };
-                (handle, Heard::Progress(share.clamp(0.0, 1.0)))
+                (handle, UpstreamEvent::Progress(share.clamp(0.0, 1.0)))
             }
             Packet::WorkData { handle, data } => {
-                (handle, Heard::Said { kind: Saying::Data, bytes: data.to_vec() })
+                (handle, UpstreamEvent::Output { kind: OutputKind::Data, bytes: data.to_vec() })
             }
             Packet::WorkWarning { handle, data } => {
-                (handle, Heard::Said { kind: Saying::Warning, bytes: data.to_vec() })
+                (handle, UpstreamEvent::Output { kind: OutputKind::Warning, bytes: data.to_vec() })
             }
             _ => return None,
         };
         let (id, _) = self.running(name)?;
-        front.inbox.post(Input::Upstream { id, event: heard, connection: LinkIs::Busy });
+        front.inbox.post(Input::Upstream { id, event: heard, connection: ConnectionState::Busy });
         None
     }
 
     /// It says why its job will fail; it ends with the failure that follows.
     pub fn exception(&self, front: &Gearman, name: &[u8], why: &[u8]) -> Option<Vec<u8>> {
         let (id, _) = self.running(name)?;
-        let said = Heard::Said { kind: Saying::Exception, bytes: why.to_vec() };
-        front.inbox.post(Input::Upstream { id, event: said, connection: LinkIs::Busy });
+        let said = UpstreamEvent::Output { kind: OutputKind::Exception, bytes: why.to_vec() };
+        front.inbox.post(Input::Upstream { id, event: said, connection: ConnectionState::Busy });
         None
     }
 
@@ -371,20 +379,23 @@
             held.job_no().filter(|_| result.is_none()).into_iter().for_each(|no| jobs.backlog.set_failed(no));
         }
         let heard = match result {
-            Some(data) => Heard::Ended { outcome: Outcome::Ok, report: report(), body: data.to_vec() },
-            None => Heard::Ended { outcome: Outcome::Error, report: report(), body: Vec::new() },
+            Some(data) => {
+                UpstreamEvent::Ended { outcome: Outcome::Ok, report: report(), body: data.to_vec() }
+            }
+            None => UpstreamEvent::Ended { outcome: Outcome::Error, report: report(), body: Vec::new() },
         };
-        front.inbox.post(Input::Upstream { id: held.id, event: heard, connection: LinkIs::Free });
+        front.inbox.post(Input::Upstream { id: held.id, event: heard, connection: ConnectionState::Free });
         None
     }
 
     /// Its result does not fit: the job fails, and its hands are free.
     pub fn result_too_large(&self, front: &Gearman) {
         let Some(held) = self.change(front, |w| w.drop_job()) else { return };
-        let said = Heard::Said { kind: Saying::Exception, bytes: b"the result is too large".to_vec() };
-        front.inbox.post(Input::Upstream { id: held.id, event: said, connection: LinkIs::Busy });
-        let failed = Heard::Ended { outcome: Outcome::Error, report: report(), body: Vec::new() };
-        front.inbox.post(Input::Upstream { id: held.id, event: failed, connection: LinkIs::Free });
+        let said =
+            UpstreamEvent::Output { kind: OutputKind::Exception, bytes: b"the result is too large".to_vec() };
+        front.inbox.post(Input::Upstream { id: held.id, event: said, connection: ConnectionState::Busy });
+        let failed = UpstreamEvent::Ended { outcome: Outcome::Error, report: report(), body: Vec::new() };
+        front.inbox.post(Input::Upstream { id: held.id, event: failed, connection: ConnectionState::Free });
     }
 
     /// A time of it has come: it did not ask for the job that was chosen for it, or did not end the one that it has.
@@ -409,9 +420,16 @@
         let (able, chosen, runs) = self.change(front, |w| w.leave());
         chosen.into_iter().for_each(|held| never_ran(front, held.id, true));
         if let Some(held) = runs {
-            let lost =
-                Heard::Ended { outcome: Outcome::Reset, report: LoadReport::default(), body: Vec::new() };
-            front.inbox.post(Input::Upstream { id: held.id, event: lost, connection: LinkIs::Closed });
+            let lost = UpstreamEvent::Ended {
+                outcome: Outcome::Reset,
+                report: LoadReport::default(),
+                body: Vec::new(),
+            };
+            front.inbox.post(Input::Upstream {
+                id: held.id,
+                event: lost,
+                connection: ConnectionState::Closed,
+            });
         }
         able.into_iter().for_each(|f| self.list(front, f, EndpointState::Gone));
     }
@@ -419,6 +437,6 @@
 
 /// An attempt that its worker has was given up: it may have run.
 fn late(front: &Gearman, id: UpstreamId) {
-    let ended = Heard::Ended { outcome: Outcome::Timeout, report: report(), body: Vec::new() };
-    front.inbox.post(Input::Upstream { id, event: ended, connection: LinkIs::Free });
+    let ended = UpstreamEvent::Ended { outcome: Outcome::Timeout, report: report(), body: Vec::new() };
+    front.inbox.post(Input::Upstream { id, event: ended, connection: ConnectionState::Free });
 }
--- a/dispatcher/src/wire/http.rs
+++ b/dispatcher/src/wire/http.rs
@@ -26,7 +26,7 @@
 
 /// Why a message did not come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum HttpError {
     /// The connection ended between messages.
     Ended,
     /// It ended or broke within one.
@@ -170,7 +170,7 @@
         self.advance(blank);
     }
     /// Reads on until there are as many bytes.
-    pub fn want(&mut self, bytes: usize, deadline: Micros) -> Result<(), Bad> {
+    pub fn want(&mut self, bytes: usize, deadline: Micros) -> Result<(), HttpError> {
         while self.buffer.len() < bytes {
             self.more(deadline)?;
         }
@@ -192,7 +192,7 @@
         self.buffer.drain(..bytes);
     }
     /// Reads on; false at the end.
-    pub fn fill(&mut self, deadline: Micros) -> Result<bool, Bad> {
+    pub fn fill(&mut self, deadline: Micros) -> Result<bool, HttpError> {
         if self.in_a_row >= IN_A_ROW {
             self.in_a_row = 0;
             may::coroutine::sleep(TURN);
@@ -208,29 +208,29 @@
         self.arrivals.extend(self.buffer.len(), clock::now());
         match read {
             Ok(n) => Ok(n > 0),
-            Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => Err(Bad::Late),
-            Err(_) => Err(Bad::Broken),
+            Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => Err(HttpError::Late),
+            Err(_) => Err(HttpError::Broken),
         }
     }
     /// Reads on, and keeps nothing of it; false at the end.
-    pub fn skip(&mut self, deadline: Micros) -> Result<bool, Bad> {
+    pub fn skip(&mut self, deadline: Micros) -> Result<bool, HttpError> {
         self.sealed = false;
         self.advance(self.buffer.len());
         self.fill(deadline)
     }
-    fn more(&mut self, deadline: Micros) -> Result<(), Bad> {
+    fn more(&mut self, deadline: Micros) -> Result<(), HttpError> {
         if self.sealed {
-            return Err(Bad::Ended);
+            return Err(HttpError::Ended);
         }
         let empty = self.buffer.is_empty();
         match self.fill(deadline)? {
             true => Ok(()),
-            false => Err(if empty { Bad::Ended } else { Bad::Broken }),
+            false => Err(if empty { HttpError::Ended } else { HttpError::Broken }),
         }
     }
 
     /// A request's head, and where it ends.
-    pub fn request(&mut self, deadline: Micros) -> Result<(Message, usize), Bad> {
+    pub fn request(&mut self, deadline: Micros) -> Result<(Message, usize), HttpError> {
         self.head(deadline, parse_request)
     }
 
@@ -239,17 +239,17 @@
         &mut self,
         (mut message, at): (Message, usize),
         deadline: Micros,
-    ) -> Result<Message, Bad> {
+    ) -> Result<Message, HttpError> {
         if message.expects && message.length.is_some_and(|l| self.buffer.len() < at + l) {
             let go_on = self.socket.write(&[b"HTTP/1.1 100 Continue\r\n\r\n"], deadline);
-            go_on.map_err(|_| Bad::Broken)?;
+            go_on.map_err(|_| HttpError::Broken)?;
         }
         self.take_body(&mut message, at, deadline)?;
         Ok(message)
     }
 
     /// A whole response, past any interim ones.
-    pub fn response(&mut self, deadline: Micros) -> Result<Message, Bad> {
+    pub fn response(&mut self, deadline: Micros) -> Result<Message, HttpError> {
         let mut interim = 0;
         loop {
             let (mut message, at) = self.head(deadline, parse_response)?;
@@ -257,7 +257,7 @@
                 self.advance(at);
                 interim += 1;
                 if interim > INTERIM {
-                    return Err(Bad::Status(502));
+                    return Err(HttpError::Status(502));
                 }
                 continue;
             }
@@ -276,14 +276,14 @@
     }
 
     /// The head of a response whose chunks are taken one by one.
-    pub fn stream_head(&mut self, deadline: Micros) -> Result<Message, Bad> {
+    pub fn stream_head(&mut self, deadline: Micros) -> Result<Message, HttpError> {
         let (message, at) = self.head(deadline, parse_response)?;
         self.advance(at);
         Ok(message)
     }
 
     /// Appends the next chunk's bytes, of which there may be so many; false after the last one.
-    pub fn chunk(&mut self, into: &mut Vec<u8>, most: usize, deadline: Micros) -> Result<bool, Bad> {
+    pub fn chunk(&mut self, into: &mut Vec<u8>, most: usize, deadline: Micros) -> Result<bool, HttpError> {
         loop {
             match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((start, 0))) => {
@@ -291,23 +291,24 @@
                     return Ok(false);
                 }
                 Ok(httparse::Status::Complete((start, size))) => {
-                    let size = usize::try_from(size).ok().filter(|s| *s <= most).ok_or(Bad::Status(413))?;
+                    let size =
+                        usize::try_from(size).ok().filter(|s| *s <= most).ok_or(HttpError::Status(413))?;
                     self.want(start + size + 2, deadline)?;
                     if &self.buffer[start + size..start + size + 2] != b"\r\n" {
-                        return Err(Bad::Status(400));
+                        return Err(HttpError::Status(400));
                     }
                     into.extend_from_slice(&self.buffer[start..start + size]);
                     self.advance(start + size + 2);
                     return Ok(size > 0);
                 }
                 Ok(httparse::Status::Partial) if self.buffer.len() <= CHUNK_LINE => self.more(deadline)?,
-                _ => return Err(Bad::Status(400)),
+                _ => return Err(HttpError::Status(400)),
             }
         }
     }
 
     /// Past the last chunk, from `start`: trailer fields (RFC 9112, 7.1.2) up to an empty line, which are not kept.
-    fn trailers(&mut self, start: usize, deadline: Micros) -> Result<(), Bad> {
+    fn trailers(&mut self, start: usize, deadline: Micros) -> Result<(), HttpError> {
         loop {
             let rest = &self.buffer[start.min(self.buffer.len())..];
             let end = if rest.starts_with(b"\r\n") {
@@ -320,13 +321,13 @@
                 return Ok(());
             }
             if rest.len() > HEAD {
-                return Err(Bad::Status(431));
+                return Err(HttpError::Status(431));
             }
             self.more(deadline)?;
         }
     }
 
-    fn head(&mut self, deadline: Micros, parse: fn(&[u8]) -> Parsed) -> Result<(Message, usize), Bad> {
+    fn head(&mut self, deadline: Micros, parse: fn(&[u8]) -> Parsed) -> Result<(Message, usize), HttpError> {
         loop {
             if !self.buffer.is_empty() {
                 if let Some((mut message, at)) = parse(&self.buffer)? {
@@ -334,17 +335,17 @@
                     message.raw = std::mem::take(&mut self.buffer);
                     let framed = message.frame(self.body_bound);
                     self.buffer = std::mem::take(&mut message.raw);
-                    return framed.map_err(Bad::Status).map(|()| (message, at));
+                    return framed.map_err(HttpError::Status).map(|()| (message, at));
                 }
                 if self.buffer.len() > HEAD {
-                    return Err(Bad::Status(431));
+                    return Err(HttpError::Status(431));
                 }
             }
             self.more(deadline)?;
         }
     }
 
-    fn take_body(&mut self, message: &mut Message, at: usize, deadline: Micros) -> Result<(), Bad> {
+    fn take_body(&mut self, message: &mut Message, at: usize, deadline: Micros) -> Result<(), HttpError> {
         if message.chunked {
             let mut raw = self.split(at);
             loop {
@@ -367,7 +368,7 @@
 }
 
 /// A message without its body, and where its head ends; nothing yet if the head is not whole.
-type Parsed = Result<Option<(Message, usize)>, Bad>;
+type Parsed = Result<Option<(Message, usize)>, HttpError>;
 
 /// Where a part of a buffer lies in it.
 fn within(buffer: &[u8], part: &[u8]) -> Range<usize> {
@@ -379,8 +380,8 @@
     headers.iter().map(|h| (within(buffer, h.name.as_bytes()), within(buffer, h.value))).collect()
 }
 
-fn status_of(e: httparse::Error) -> Bad {
-    Bad::Status(if e == httparse::Error::TooManyHeaders { 431 } else { 400 })
+fn status_of(e: httparse::Error) -> HttpError {
+    HttpError::Status(if e == httparse::Error::TooManyHeaders { 431 } else { 400 })
 }
 
 fn parse_request(buffer: &[u8]) -> Parsed {
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -3,8 +3,8 @@
 //! A bounded queue stands between the decisions and the exporter: what does not fit is dropped and counted, and
 //! the count is exported with the templates.
 
-use crate::core::{Finish, Flow, FlowSink, clock};
-use crate::lifecycle::settings_error::Problem;
+use crate::core::{Flow, FlowSink, StreamOutcome, clock};
+use crate::lifecycle::settings_error::ConfigError;
 use may::net::UdpSocket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use roselock::settings::Site;
@@ -92,9 +92,9 @@
 }
 
 /// Checks the file.
-pub fn check(file: &File) -> Result<(), Problem> {
+pub fn check(file: &File) -> Result<(), ConfigError> {
     if !file.template_refresh_s.is_finite() || file.template_refresh_s <= 0.0 {
-        return Err(Problem::new(None, "template_refresh_s", "is no span of time", "above 0"));
+        return Err(ConfigError::new(None, "template_refresh_s", "is no span of time", "above 0"));
     }
     Ok(())
 }
@@ -182,11 +182,11 @@
         let (from, to) = (flow.downstream, flow.upstream);
         let v4 = from.is_ipv4() && to.is_none_or(|t| t.is_ipv4());
         let (finish, reason): (u16, u8) = match flow.finish {
-            Finish::Served => (200, 3),
-            Finish::Refused => (503, 5),
-            Finish::Failed => (500, 3),
-            Finish::TimedOut => (504, 2),
-            Finish::Left => (0, 4),
+            StreamOutcome::Served => (200, 3),
+            StreamOutcome::Rejected => (503, 5),
+            StreamOutcome::Failed => (500, 3),
+            StreamOutcome::TimedOut => (504, 2),
+            StreamOutcome::ClientDisconnected => (0, 4),
         };
         let mut record = Vec::with_capacity(128);
         for address in [Some(from.ip()), to.map(|t| t.ip())] {
--- a/dispatcher/src/wire/list.rs
+++ b/dispatcher/src/wire/list.rs
@@ -61,7 +61,7 @@
             units: t.capacity_hint,
             started_at: (t.boot_ms > 0.0).then_some((t.boot_ms * 1e3) as Micros),
         };
-        Some(ListedHost { uid: t.uid.clone(), endpoint, entry, link: None })
+        Some(ListedHost { uid: t.uid.clone(), address: endpoint, endpoint: entry, connection: None })
     };
     list.targets.iter().filter_map(host).collect()
 }
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -1,9 +1,10 @@
 //! Connections to upstream hosts over HTTP/1.1: one upstream request at a time on each.
 
-use super::http::{self, Bad, Message, Reader, by};
+use super::http::{self, HttpError, Message, Reader, by};
 use super::socket::{ConnectError, LocalRetry, Socket};
 use crate::core::{
-    Ask, Dialer, Heard, Inbox, Input, Link, LinkIs, Payload, UpstreamId, UpstreamRequest, clock,
+    ConnectionState, Dialer, Inbox, Input, Payload, RequestKind, UpstreamConnection, UpstreamEvent,
+    UpstreamId, UpstreamRequest, clock,
 };
 use may::sync::mpsc::{Receiver, Sender, channel};
 use roselock::settings::Site;
@@ -28,11 +29,11 @@
     /// Wakes the watch on the list.
     pub watch: Sender<()>,
     /// Counts what is written whole.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
 }
 
 impl Dialer for HttpDialer {
-    fn dial(&self, endpoint: SocketAddr, request: UpstreamRequest) -> Arc<dyn Link> {
+    fn dial(&self, endpoint: SocketAddr, request: UpstreamRequest) -> Arc<dyn UpstreamConnection> {
         let (requests, posted) = channel();
         let state = Arc::new(Mutex::new(State::Opening));
         let connection = Connection {
@@ -41,7 +42,7 @@
             inbox: self.inbox.clone(),
             site: self.site.clone(),
             reader: None,
-            figures: self.figures.clone(),
+            metrics: self.metrics.clone(),
         };
         self.open.fetch_add(1, Ordering::SeqCst);
         let open = self.open.clone();
@@ -51,11 +52,11 @@
         });
         Arc::new(HttpLink { requests, state })
     }
-    fn room(&self, ask: &Ask) -> bool {
-        let kept = if matches!(ask, Ask::Withdraw(_)) { 0 } else { self.most / 8 };
+    fn has_capacity(&self, ask: &RequestKind) -> bool {
+        let kept = if matches!(ask, RequestKind::Withdraw(_)) { 0 } else { self.most / 8 };
         self.open.load(Ordering::SeqCst) + kept < self.most
     }
-    fn watch(&self) {
+    fn watch_endpoints(&self) {
         let _ = self.watch.send(());
     }
 }
@@ -74,7 +75,7 @@
     state: Arc<Mutex<State>>,
 }
 
-impl Link for HttpLink {
+impl UpstreamConnection for HttpLink {
     fn start(&self, request: UpstreamRequest) -> bool {
         self.requests.send(request).is_ok()
     }
@@ -82,7 +83,7 @@
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         matches!(&*state, State::Open(socket) if socket.is_quiet())
     }
-    fn hold_back(&self) -> bool {
+    fn cancel_unsent(&self) -> bool {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         match &*state {
             State::Opening => {}
@@ -106,7 +107,7 @@
     inbox: Inbox,
     site: Arc<Site>,
     reader: Option<(Socket, Reader)>,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
 }
 
 impl Connection {
@@ -115,7 +116,7 @@
         while let Some(request) = next {
             let (heard, link) = self.exchange(&request);
             self.inbox.post(Input::Upstream { id: request.id, event: heard, connection: link });
-            if link == LinkIs::Closed {
+            if link == ConnectionState::Closed {
                 return;
             }
             next = posted.recv().ok();
@@ -123,18 +124,24 @@
     }
 
     /// One upstream request, from its first byte to the host's answer.
-    fn exchange(&mut self, request: &UpstreamRequest) -> (Heard, LinkIs) {
+    fn exchange(&mut self, request: &UpstreamRequest) -> (UpstreamEvent, ConnectionState) {
         let unsent = |outcome| match request.ask {
-            Ask::Run(_) => Heard::Ended { outcome, report: LoadReport::default(), body: Vec::new() },
-            Ask::Probe => Heard::Probed { ok: false, report: LoadReport::default() },
-            Ask::Withdraw(_) => Heard::Nothing,
-            Ask::Preconnect => Heard::Broken,
+            RequestKind::Run(_) => {
+                UpstreamEvent::Ended { outcome, report: LoadReport::default(), body: Vec::new() }
+            }
+            RequestKind::HealthCheck => {
+                UpstreamEvent::HealthChecked { ok: false, report: LoadReport::default() }
+            }
+            RequestKind::Withdraw(_) => UpstreamEvent::Ignored,
+            RequestKind::Preconnect => UpstreamEvent::ConnectionLost,
         };
         let broken = match request.ask {
-            Ask::Run(_) => {
-                Heard::Ended { outcome: Outcome::Reset, report: LoadReport::default(), body: Vec::new() }
-            }
-            _ => Heard::Broken,
+            RequestKind::Run(_) => UpstreamEvent::Ended {
+                outcome: Outcome::Reset,
+                report: LoadReport::default(),
+                body: Vec::new(),
+            },
+            _ => UpstreamEvent::ConnectionLost,
         };
         // An idle connection that the host has closed is replaced while nothing is written; one that was ended
         // from here is not: its upstream request has been given up.
@@ -154,43 +161,45 @@
                 NotOpened::Failed if !late() => Outcome::ConnectFailed,
                 NotOpened::Failed | NotOpened::Short => Outcome::NotStarted,
             };
-            return (unsent(outcome), LinkIs::Closed);
+            return (unsent(outcome), ConnectionState::Closed);
         }
         let closed_at_once = |now| opened.is_some_and(|at| now - at <= IMMEDIATE_CLOSE);
-        let Some((socket, reader)) = &mut self.reader else { return (Heard::Nothing, LinkIs::Closed) };
-        if matches!(request.ask, Ask::Preconnect) {
+        let Some((socket, reader)) = &mut self.reader else {
+            return (UpstreamEvent::Ignored, ConnectionState::Closed);
+        };
+        if matches!(request.ask, RequestKind::Preconnect) {
             return match reader.response(by(IMMEDIATE_CLOSE)) {
-                Err(Bad::Late) => (Heard::Nothing, LinkIs::Free),
-                _ => (Heard::ConnectionRejected { request_written: false }, LinkIs::Closed),
+                Err(HttpError::Late) => (UpstreamEvent::Ignored, ConnectionState::Free),
+                _ => (UpstreamEvent::ConnectionRejected { request_written: false }, ConnectionState::Closed),
             };
         }
         if opened.is_some() && !socket.is_quiet() {
-            return (Heard::ConnectionRejected { request_written: false }, LinkIs::Closed);
+            return (UpstreamEvent::ConnectionRejected { request_written: false }, ConnectionState::Closed);
         }
         if late() {
-            return (unsent(Outcome::NotStarted), LinkIs::Closed);
+            return (unsent(Outcome::NotStarted), ConnectionState::Closed);
         }
         if write(socket, &self.state, self.endpoint, request).is_err() {
             let heard = if closed_at_once(clock::now()) {
-                Heard::ConnectionRejected { request_written: false }
+                UpstreamEvent::ConnectionRejected { request_written: false }
             } else {
                 unsent(Outcome::ConnectFailed)
             };
-            return (heard, LinkIs::Closed);
+            return (heard, ConnectionState::Closed);
         }
-        request.class.iter().for_each(|class| self.figures.attempt_sent(*class));
+        request.class.iter().for_each(|class| self.metrics.attempt_sent(*class));
         match reader.response(request.deadline) {
             Ok(answer) => {
                 let close = answer.close || !reader.is_empty();
                 let heard = heard(&request.ask, &answer, &self.site);
-                (heard, if close { LinkIs::Closed } else { LinkIs::Free })
+                (heard, if close { ConnectionState::Closed } else { ConnectionState::Free })
             }
             // The owner ends the attempt at its deadline; till then no word is no outcome.
-            Err(Bad::Late) => (Heard::Nothing, LinkIs::Closed),
+            Err(HttpError::Late) => (UpstreamEvent::Ignored, ConnectionState::Closed),
             Err(_) if closed_at_once(clock::now()) && reader.is_empty() => {
-                (Heard::ConnectionRejected { request_written: true }, LinkIs::Closed)
+                (UpstreamEvent::ConnectionRejected { request_written: true }, ConnectionState::Closed)
             }
-            Err(_) => (broken, LinkIs::Closed),
+            Err(_) => (broken, ConnectionState::Closed),
         }
     }
 
@@ -257,13 +266,13 @@
 ) -> std::io::Result<()> {
     let host = format!(" HTTP/1.1\r\nHost: {endpoint}\r\n");
     let parts = match &request.ask {
-        Ask::Run(payload) => return write_run(socket, state, &host, payload, request.deadline),
-        Ask::Withdraw(payload) => {
+        RequestKind::Run(payload) => return write_run(socket, state, &host, payload, request.deadline),
+        RequestKind::Withdraw(payload) => {
             let id = payload.id().as_bytes();
             [b"DELETE /jobs/".as_slice(), id, host.as_bytes(), b"Content-Length: 0\r\n\r\n"]
         }
-        Ask::Probe => [b"GET /stats".as_slice(), host.as_bytes(), b"\r\n", b""],
-        Ask::Preconnect => return Ok(()),
+        RequestKind::HealthCheck => [b"GET /stats".as_slice(), host.as_bytes(), b"\r\n", b""],
+        RequestKind::Preconnect => return Ok(()),
     };
     socket.write(&parts, request.deadline)
 }
@@ -306,25 +315,25 @@
 }
 
 /// What an answer means.
-fn heard(ask: &Ask, answer: &Message, site: &Site) -> Heard {
+fn heard(ask: &RequestKind, answer: &Message, site: &Site) -> UpstreamEvent {
     let report = answer.value("x-load-report").and_then(http::load_report);
     match ask {
-        Ask::Withdraw(_) => Heard::Withdrawn,
-        Ask::Preconnect => Heard::Nothing,
-        Ask::Probe => {
+        RequestKind::Withdraw(_) => UpstreamEvent::Withdrawn,
+        RequestKind::Preconnect => UpstreamEvent::Ignored,
+        RequestKind::HealthCheck => {
             let body = std::str::from_utf8(answer.body()).ok().and_then(http::load_report);
             let gauge = report.or(body).map(|g| site.load_report(&g)).unwrap_or_default();
-            Heard::Probed { ok: answer.status == 200, report: gauge }
+            UpstreamEvent::HealthChecked { ok: answer.status == 200, report: gauge }
         }
-        Ask::Run(_) => {
+        RequestKind::Run(_) => {
             let gauge = report.map(|g| site.load_report(&g)).unwrap_or_default();
             let rejected = answer.value("x-rejected") == Some("1");
             match answer.status {
-                202 => Heard::Taken,
+                202 => UpstreamEvent::Accepted,
                 503 | 504 if rejected => {
-                    Heard::Ended { outcome: Outcome::Rejected, report: gauge, body: Vec::new() }
+                    UpstreamEvent::Ended { outcome: Outcome::Rejected, report: gauge, body: Vec::new() }
                 }
-                _ => Heard::Ended { outcome: Outcome::Error, report: gauge, body: Vec::new() },
+                _ => UpstreamEvent::Ended { outcome: Outcome::Error, report: gauge, body: Vec::new() },
             }
         }
     }
