--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's messages as they stand on a line: names as text, seconds as numbers.
 
-use roselock::settings::{Gauge, Options};
+use roselock::settings::{Options, WorkerReport};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, IgnoredAny, SeqAccess, Visitor};
 use std::borrow::Cow;
@@ -51,12 +51,12 @@
     Fleet { mode: Name<'a>, hosts: Vec<Host<'a>> },
     JobIn(JobIn<'a>),
     Down,
-    Health { verdict: Name<'a>, worker: Name<'a>, gauge: Gauge },
+    Health { verdict: Name<'a>, worker: Name<'a>, gauge: WorkerReport },
     Notice { rid: u32, round: u32, what: u64, amount: f64 },
     Alarm { nonce: u64 },
     Cancelled { rid: u32 },
     Datagram,
-    Verdict { rid: u32, round: u32, verdict: Name<'a>, last: bool, gauge: Gauge },
+    Verdict { rid: u32, round: u32, verdict: Name<'a>, last: bool, gauge: WorkerReport },
     Accepted { rid: u32, round: u32 },
 }
 
--- a/dispatcher/src/core/suspensions.rs
+++ b/dispatcher/src/core/suspensions.rs
@@ -3,11 +3,11 @@
 //! The admin side never waits for the owner: it writes here and increments a generation, which the owner compares at
 //! each turn of its loop. Kept under locks that nobody holds for long, off the path of streams.
 
+use parking_lot::{Condvar, Mutex};
 use roselock::WorkerId;
 use roselock::settings::fnv;
 use std::collections::{BTreeSet, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// Most ids that are remembered as listed, and most suspended workers.
@@ -45,17 +45,13 @@
     Unchanged,
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl Suspensions {
     /// Suspends a worker, or restores it; an id that was never listed is refused.
     pub fn set(&self, id: &str, suspended: bool) -> Result<SetResult, &'static str> {
-        if !lock(&self.listed).contains(id) {
+        if !self.listed.lock().contains(id) {
             return Err("never listed");
         }
-        let mut workers = lock(&self.workers);
+        let mut workers = self.workers.lock();
         if suspended && !workers.ids.contains(id) && workers.ids.len() >= MAX_SUSPENDED {
             return Err("too many workers out by hand");
         }
@@ -69,7 +65,7 @@
     }
     /// Takes over what another process wrote, if it is newer; true if that changed the set.
     pub fn adopt(&self, other: SuspendedWorkers) -> bool {
-        let mut workers = lock(&self.workers);
+        let mut workers = self.workers.lock();
         if other.sequence <= workers.sequence {
             return false;
         }
@@ -83,11 +79,11 @@
     }
     /// The suspended workers.
     pub fn workers(&self) -> SuspendedWorkers {
-        lock(&self.workers).clone()
+        self.workers.lock().clone()
     }
     /// Notes ids that the list names, up to [`MAX_SUSPENDED`].
     pub fn note_listed<'a>(&self, ids: impl Iterator<Item = &'a str>) {
-        let mut listed = lock(&self.listed);
+        let mut listed = self.listed.lock();
         for id in ids {
             if listed.len() >= MAX_SUSPENDED {
                 return;
@@ -107,27 +103,26 @@
     }
     /// Waits, on a thread, until there is a change after number `written`, at most so long.
     pub fn wait_for_change(&self, written: u64, most: Duration) -> SuspendedWorkers {
-        let workers = lock(&self.workers);
-        let unchanged = |workers: &mut SuspendedWorkers| workers.sequence <= written;
-        let waited = self.changed.wait_timeout_while(workers, most, unchanged);
-        waited.unwrap_or_else(PoisonError::into_inner).0.clone()
+        let mut workers = self.workers.lock();
+        self.changed.wait_while_for(&mut workers, |workers| workers.sequence <= written, most);
+        workers.clone()
     }
     /// Notes that the file holds the changes up to this number, which counts between processes.
     pub fn mark_saved(&self, sequence: u64) {
-        *lock(&self.unsaved) = None;
+        *self.unsaved.lock() = None;
         self.saved.fetch_max(sequence, Ordering::SeqCst);
     }
     /// Notes why the file could not be written.
     pub fn note_unsaved(&self, why: String) {
-        *lock(&self.unsaved) = Some(why);
+        *self.unsaved.lock() = Some(why);
     }
     /// Whether the file holds all changes, or why it does not yet.
     pub fn saved(&self) -> Result<(), String> {
-        let wanted = lock(&self.workers).sequence;
+        let wanted = self.workers.lock().sequence;
         if self.saved.load(Ordering::SeqCst) >= wanted {
             return Ok(());
         }
-        Err(lock(&self.unsaved).clone().unwrap_or_else(|| "the file is not written yet".to_owned()))
+        Err(self.unsaved.lock().clone().unwrap_or_else(|| "the file is not written yet".to_owned()))
     }
     /// For the owner: the suspended workers, if there was a change after number `seen`.
     pub fn changed_since(&self, seen: u64) -> Option<(u64, BTreeSet<WorkerId>)> {
@@ -135,7 +130,7 @@
         if generation == seen {
             return None;
         }
-        let out = lock(&self.workers).ids.iter().map(|id| WorkerId(fnv(id.as_bytes()))).collect();
+        let out = self.workers.lock().ids.iter().map(|id| WorkerId(fnv(id.as_bytes()))).collect();
         Some((generation, out))
     }
     /// Notes that the owner has told the decisions of this change.
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -22,7 +22,7 @@
     #[serde(default)]
     result: Option<String>,
     #[serde(default)]
-    load: Option<settings::Gauge>,
+    load: Option<settings::WorkerReport>,
 }
 
 /// Passes one on, with its body where the other process of an upgrade may have its stream; false where it makes no
--- a/dispatcher/src/wire/connection_limiter.rs
+++ b/dispatcher/src/wire/connection_limiter.rs
@@ -2,11 +2,12 @@
 
 use super::socket::Socket;
 use may::net::{TcpListener, TcpStream};
+use parking_lot::{Mutex, MutexGuard};
 use roselock::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// How long a connection may take from its first moment to its first whole message: more than the 2 s over which slow clients
@@ -53,7 +54,7 @@
         })
     }
     fn spares(&self) -> MutexGuard<'_, BTreeMap<(ShedPriority, u64), Socket>> {
-        self.spare.lock().unwrap_or_else(PoisonError::into_inner)
+        self.spare.lock()
     }
     /// Notes that a connection may go.
     pub fn spare(self: &Arc<ConnectionLimiter>, rank: ShedPriority, socket: &Socket) -> SheddableConnection {
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -6,13 +6,14 @@
 use super::socket::{ConnectError, LocalRetry, Socket};
 use crate::core::{FleetId, Inbox, Input, clock};
 use may::sync::mpsc::{Receiver, Sender};
+use parking_lot::{Mutex, MutexGuard};
 use roselock::settings::Site;
 use roselock::{ListMode, Micros, SECOND};
 use roselock_admin::metrics::Metrics;
 use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, WATCH_TIMEOUT, WatchEnd, WatchEndReason};
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// How long a connection may take to come up and a request to be written, and how long an answer, which may wait for its
 /// turn.
@@ -65,7 +66,7 @@
         }
     }
     fn place(&self) -> MutexGuard<'_, Place> {
-        self.place.lock().unwrap_or_else(PoisonError::into_inner)
+        self.place.lock()
     }
     /// Discovery is elsewhere from now on: ends the watch at the former address and wakes it. False if it is not.
     pub fn move_to(&self, at: SocketAddr) -> bool {
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -10,8 +10,8 @@
 use may::net::TcpListener;
 use roselock::settings::Site;
 use roselock_admin::metrics::Metrics;
+use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What all connections of the front share.
 pub struct Front {
@@ -38,11 +38,6 @@
 /// Connections kept for call-backs.
 const FOR_CALL_BACKS: usize = 96;
 
-/// Short sections without waits inside; the runtime's thread is never held up.
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 /// Accepts connections for ever.
 pub fn accept(front: Arc<Front>, listener: &TcpListener) {
     let table = front.connections.clone();
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -1,14 +1,15 @@
 //! The writing side of a client's connection: answers, one after another.
 
+use super::Front;
 use super::room::Held;
-use super::{Front, lock};
 use crate::core::{Answer, Downstream, Inbox};
 use crate::wire::connection_limiter::{ShedPriority, SheddableConnection};
 use crate::wire::http::{self, by};
 use crate::wire::socket::Socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
+use parking_lot::{Mutex, MutexGuard};
 use roselock::{Micros, SECOND};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::Arc;
 
 /// How long an answer may take to go out.
 const TRANSFER: Micros = 10 * SECOND;
@@ -84,7 +85,7 @@
 
     /// What the reader and the writer share.
     pub(super) fn exchange(&self) -> MutexGuard<'_, Exchange> {
-        lock(&self.exchange)
+        self.exchange.lock()
     }
 
     /// The way for a stream's answer.
@@ -98,7 +99,7 @@
     // Who borrows the id of another's stream need not stay.
     let astray = *answer == Answer::Conflict;
     let (wanted, behind) = {
-        let exchange = lock(shared);
+        let exchange = shared.lock();
         (exchange.close, exchange.behind)
     };
     let close = astray || wanted || (front.inbox.is_closing_connections() && !behind);
@@ -112,7 +113,7 @@
         Written::Closed => socket.finish(),
         Written::Broken => socket.close(),
     }
-    let mut exchange = lock(shared);
+    let mut exchange = shared.lock();
     // A request that has been read is owed an answer: its connection is not among those that may go.
     let needed = became == Written::Kept && exchange.behind;
     let rank = if close { ShedPriority::Closing } else { ShedPriority::Idle };
--- a/dispatcher/src/wire/gearman/admin.rs
+++ b/dispatcher/src/wire/gearman/admin.rs
@@ -1,6 +1,6 @@
 //! The administrators' lines.
 
-use super::{Gearman, Peer, lock};
+use super::{Gearman, Peer};
 use roselock_backlog::{Cancellation, State};
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -55,7 +55,7 @@
 /// Function, jobs, those that run, workers that can.
 fn status(front: &Gearman) -> String {
     let registry = front.functions();
-    let jobs = lock(&front.jobs);
+    let jobs = front.jobs.lock();
     let mut lines = String::new();
     for (f, function) in registry.all.iter().enumerate() {
         let counts = jobs.backlog.counts(f);
@@ -70,7 +70,7 @@
 /// Function, jobs that wait by priority, workers that can.
 fn priority_status(front: &Gearman) -> String {
     let registry = front.functions();
-    let jobs = lock(&front.jobs);
+    let jobs = front.jobs.lock();
     let mut lines = String::new();
     for (f, function) in registry.all.iter().enumerate() {
         let counts = jobs.backlog.counts(f);
@@ -84,8 +84,8 @@
 fn workers(front: &Gearman) -> String {
     let registry = front.functions();
     let mut lines = String::new();
-    for peer in lock(&front.peers).values() {
-        let name = lock(&peer.name).clone();
+    for peer in front.peers.lock().values() {
+        let name = peer.name.lock().clone();
         let name = if name.is_empty() { "-" } else { &name };
         let _ = write!(lines, "{} {} {name} :", peer.number, peer.address.ip());
         for f in peer.able() {
@@ -98,7 +98,7 @@
 
 /// Handle, attempts so far, whether it waits for its time, whether it is queued, whether a worker has it.
 fn show_jobs(front: &Gearman) -> String {
-    let jobs = lock(&front.jobs);
+    let jobs = front.jobs.lock();
     let mut all: Vec<_> = jobs.backlog.iter().collect();
     all.sort_unstable_by_key(|j| j.0);
     let mut lines = String::new();
@@ -113,7 +113,7 @@
 
 /// Unique ids.
 fn show_unique(front: &Gearman) -> String {
-    let jobs = lock(&front.jobs);
+    let jobs = front.jobs.lock();
     let mut all: Vec<_> = jobs.backlog.iter().filter(|j| !j.1.unique.is_empty()).collect();
     all.sort_unstable_by_key(|j| j.0);
     let mut lines = String::new();
@@ -126,7 +126,7 @@
 
 /// Jobs that have ended since the start, by how; `lost` are background jobs without a worker's word.
 fn ends(front: &Gearman) -> String {
-    let e = lock(&front.jobs).ends;
+    let e = front.jobs.lock().ends;
     let all = [
         ("served", e.served),
         ("failed", e.failed),
@@ -142,7 +142,7 @@
 fn cancel(front: &Gearman, handle: &str) -> String {
     let Some(no) = front.job_no(handle.as_bytes()) else { return err("NOT_FOUND", "no such job") };
     let cancelled = {
-        let mut jobs = lock(&front.jobs);
+        let mut jobs = front.jobs.lock();
         let cancelled = jobs.backlog.cancel(no);
         if let Cancellation::Cancelled(ended, _) = &cancelled {
             jobs.ends.cancelled += 1;
@@ -176,7 +176,7 @@
         Ok([high, normal, low]) => [most(*high), most(*normal), most(*low)],
         _ => return err("INCOMPLETE_ARGS", "one size, or one each for high, ordinary and low"),
     };
-    lock(&front.jobs).backlog.set_max_queue(f, each);
+    front.jobs.lock().backlog.set_max_queue(f, each);
     "OK\n".into()
 }
 
@@ -184,7 +184,7 @@
     match front.function_for(name.as_bytes()) {
         Some(f) => {
             let queue = front.functions().all[f].queue.clone();
-            lock(&front.jobs).backlog.reconfigure(f, queue);
+            front.jobs.lock().backlog.reconfigure(f, queue);
             "OK\n".into()
         }
         None => err("UNKNOWN_FUNCTION", "the operators' file neither names it nor has a default entry"),
@@ -195,7 +195,7 @@
     let Some(f) = front.functions().find(name.as_bytes()) else {
         return err("UNKNOWN_FUNCTION", "not taken here");
     };
-    let counts = lock(&front.jobs).backlog.counts(f);
+    let counts = front.jobs.lock().backlog.counts(f);
     if counts.jobs() > 0 || counts.able > 0 {
         return err("FUNCTION_IN_USE", "there are still workers or jobs of it");
     }
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: bytes in, packets heeded, answers out.
 
 use super::outbox::{self, Outbox, OutboxMessage};
-use super::{Gearman, Peer, TRANSFER, admin, error, jobs, lock, reply};
+use super::{Gearman, Peer, TRANSFER, admin, error, jobs, reply};
 use crate::wire::connection_limiter::{
     FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
 };
@@ -9,14 +9,15 @@
 use crate::wire::socket::Socket;
 use may::net::{TcpListener, TcpStream};
 use may::sync::mpsc::channel;
+use parking_lot::Mutex;
 use roselock::{Micros, SECOND};
 use roselock_gearman::decode::CHUNK;
 use roselock_gearman::packet::number;
 use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic, Packet};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
-use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 /// How long a connection with nothing under way may be silent.
@@ -45,12 +46,12 @@
         timed: AtomicI64::new(0),
         is_worker: AtomicBool::new(false),
     });
-    lock(&front.peers).insert(number, peer.clone());
+    front.peers.lock().insert(number, peer.clone());
     let (writing, writer, out) = (front.clone(), peer.clone(), socket.clone());
     may::go!(move || outbox::write(&writing, &writer, &out, &posted));
     read(front, &peer, &socket);
     // Whatever it ran or waited for, it is gone.
-    lock(&front.peers).remove(&number);
+    front.peers.lock().remove(&number);
     peer.leave(front);
     jobs::leave(front, &peer);
     let _ = peer.outbox.post(OutboxMessage::End);
@@ -72,7 +73,7 @@
     let mut whole_by = 0;
     loop {
         let engaged =
-            lock(&peer.worker).is_worker() || lock(&front.jobs).backlog.jobs_awaited_by(peer.number) > 0;
+            peer.worker.lock().is_worker() || front.jobs.lock().backlog.jobs_awaited_by(peer.number) > 0;
         let inside = decoder.is_inside();
         let idle = (unidentified.is_none() && !engaged && !inside)
             .then(|| front.connections.spare(ShedPriority::Idle, socket));
@@ -185,7 +186,7 @@
         P::EchoReq { data } => Some(reply(Kind::EchoRes, &[data])),
         P::SetClientId { name } => {
             let name = String::from_utf8_lossy(&name[..name.len().min(NAME)]);
-            *lock(&peer.name) = name.split_whitespace().collect::<Vec<_>>().join("_");
+            *peer.name.lock() = name.split_whitespace().collect::<Vec<_>>().join("_");
             None
         }
         // Workers are chosen one by one: there is no sharing to be asked out of.
--- a/dispatcher/src/wire/gearman/jobs.rs
+++ b/dispatcher/src/wire/gearman/jobs.rs
@@ -1,6 +1,6 @@
 //! The clients' side: jobs, who waits for them, and their last words.
 
-use super::{Gearman, Jobs, Peer, Tail, error, lock, reply};
+use super::{Gearman, Jobs, Peer, Tail, error, reply};
 use crate::core::{Answer, Downstream, Input, JobSource, NewStream, OutputKind, Payload, StreamId, clock};
 use roselock::{Micros, SECOND};
 use roselock_backlog::{Completion, EndedJob, Ending, Job, JobNo, NewJob, Rejection, State, Waiter};
@@ -45,7 +45,7 @@
 
 /// Whether data of this size may come in.
 pub fn has_room_for(front: &Gearman, size: usize) -> bool {
-    lock(&front.jobs).backlog.bytes() + size <= front.figures.bounds.bytes
+    front.jobs.lock().backlog.bytes() + size <= front.figures.bounds.bytes
 }
 
 fn rejected(why: Rejection) -> Vec<u8> {
@@ -108,7 +108,7 @@
         }
     };
     {
-        let mut jobs = lock(&front.jobs);
+        let mut jobs = front.jobs.lock();
         if let Some(no) = jobs.backlog.by_unique(f, unique) {
             return join(&mut jobs, no);
         }
@@ -130,7 +130,7 @@
         bytes: payload.raw.capacity(),
         payload,
     };
-    let mut jobs = lock(&front.jobs);
+    let mut jobs = front.jobs.lock();
     // Another may have come with the same unique id meanwhile.
     if let Some(no) = jobs.backlog.by_unique(f, &new.unique) {
         return join(&mut jobs, no);
@@ -199,7 +199,7 @@
 
 /// The connection ended: jobs for which nobody waits any more are given up, but for background ones.
 pub fn leave(front: &Gearman, peer: &Peer) {
-    let mut jobs = lock(&front.jobs);
+    let mut jobs = front.jobs.lock();
     let waited = jobs.backlog.jobs_awaited_by(peer.number) as u64;
     let left = jobs.backlog.client_left(peer.number);
     jobs.ends.left += waited;
@@ -215,7 +215,7 @@
 impl JobSource for Queue {
     fn next(&self, now: Micros) -> Option<NewStream> {
         let front = &self.0;
-        let mut jobs = lock(&front.jobs);
+        let mut jobs = front.jobs.lock();
         let stream = front.inbox.stream_id();
         let Some(released) = jobs.backlog.release(now, || stream) else {
             jobs.nudged = false;
@@ -261,7 +261,7 @@
     }
 
     fn next_due(&self) -> Option<Micros> {
-        lock(&self.0.jobs).backlog.next_release_at()
+        self.0.jobs.lock().backlog.next_release_at()
     }
 
     fn shut_down(&self) {
@@ -296,7 +296,7 @@
         };
         let (front, now) = (&self.front, clock::now());
         let ran = ran.saturating_sub(self.before);
-        let mut jobs = lock(&front.jobs);
+        let mut jobs = front.jobs.lock();
         let completion = jobs.backlog.complete(self.no, self.stream, ending, ran, self.repeat, now);
         let Some(Completion::Final(ended)) = completion else { return };
         let ends = &mut jobs.ends;
@@ -335,10 +335,10 @@
         }
     }
     fn running(&self, runs: bool) {
-        lock(&self.front.jobs).backlog.set_running(self.no, self.stream, runs);
+        self.front.jobs.lock().backlog.set_running(self.no, self.stream, runs);
     }
     fn progress(&self, share: f64) {
-        let jobs = lock(&self.front.jobs);
+        let jobs = self.front.jobs.lock();
         // A Gearman worker's own numbers are relayed as it said them; HTTP hosts tell a share.
         let Some(job) = jobs.backlog.job(self.no) else { return };
         let percent = ((share * 100.0).clamp(0.0, 100.0).round() as u64, 100);
@@ -350,7 +350,7 @@
         self.with_seats(&jobs, |seat| seat.peer.outbox.tell(status.clone()));
     }
     fn output(&self, saying: OutputKind, bytes: &[u8]) {
-        let mut jobs = lock(&self.front.jobs);
+        let mut jobs = self.front.jobs.lock();
         let kind = match saying {
             OutputKind::Data => Kind::WorkData,
             OutputKind::Warning => Kind::WorkWarning,
@@ -394,7 +394,7 @@
     pub(super) fn part(&self) {
         self.parted.store(true, std::sync::atomic::Ordering::SeqCst);
         let waiting = {
-            let mut jobs = lock(&self.jobs);
+            let mut jobs = self.jobs.lock();
             let waiting = jobs.backlog.drain();
             jobs.ends.refused += waiting.len() as u64;
             jobs.ends.lost += waiting.iter().filter(|e| e.background).count() as u64;
@@ -422,7 +422,7 @@
 
 /// How a job stands.
 pub fn status(front: &Gearman, handle: &[u8]) -> Vec<u8> {
-    let jobs = lock(&front.jobs);
+    let jobs = front.jobs.lock();
     let job = front.job_no(handle).and_then(|no| jobs.backlog.job(no));
     let [known, running, done, of] = standing(job);
     reply(Kind::StatusRes, &[handle, known.as_bytes(), running.as_bytes(), done.as_bytes(), of.as_bytes()])
@@ -431,7 +431,7 @@
 /// How the job with a unique id stands, and how many wait for it.
 pub fn status_by_unique(front: &Gearman, unique: &[u8]) -> Vec<u8> {
     let functions = front.functions.load().all.len();
-    let jobs = lock(&front.jobs);
+    let jobs = front.jobs.lock();
     let no = (0..functions).find_map(|f| jobs.backlog.by_unique(f, unique));
     let job = no.and_then(|no| jobs.backlog.job(no));
     let [known, running, done, of] = standing(job);
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -20,6 +20,7 @@
 pub use jobs::Queue;
 use jobs::Seat;
 use outbox::{Outbox, OutboxMessage, Tail};
+use parking_lot::Mutex;
 use roselock::settings::Site;
 use roselock::{Micros, SECOND};
 use roselock_backlog::Backlog;
@@ -27,8 +28,8 @@
 use roselock_gearman::{Kind, Magic, packet};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 pub use timers::run as run_timers;
 use worker::{Held, Tally};
 
@@ -98,10 +99,6 @@
     is_worker: AtomicBool,
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl Gearman {
     /// A front without connections or functions.
     #[allow(clippy::too_many_arguments)]
@@ -173,7 +170,7 @@
     /// Has the timers look at a connection at a time.
     fn time(&self, peer: &Peer, at: Option<Micros>) {
         let Some(at) = at else { return };
-        let mut timed = lock(&self.timed);
+        let mut timed = self.timed.lock();
         let was = peer.timed.load(Ordering::Relaxed);
         if was == 0 || at < was {
             timed.remove(&(was, peer.number));
--- a/dispatcher/src/wire/gearman/reload.rs
+++ b/dispatcher/src/wire/gearman/reload.rs
@@ -1,7 +1,7 @@
 //! Functions come and go: with the file, its entry for those it does not name, and administrators' lines.
 
 use super::file::{self, File, Function};
-use super::{Gearman, Tally, lock};
+use super::{Gearman, Tally};
 use crate::core::Input;
 use crate::lifecycle::settings_error::ConfigError;
 use roselock::settings::{Site, fnv};
@@ -31,7 +31,7 @@
                 return Err("it goes to others from the next start on");
             }
             function.fleet = registry.all[f].fleet;
-            lock(&self.jobs).backlog.reconfigure(f, function.queue.clone());
+            self.jobs.lock().backlog.reconfigure(f, function.queue.clone());
             registry.put(function);
             self.functions.store(Arc::new(registry));
             return Ok(f);
@@ -47,7 +47,7 @@
             let seed = self.seed ^ fnv(function.name.as_bytes());
             self.inbox.post(Input::FleetAdded { fleet: function.fleet, settings: Box::new(set), seed });
         }
-        let mut jobs = lock(&self.jobs);
+        let mut jobs = self.jobs.lock();
         let f = jobs.backlog.add(function.queue.clone());
         jobs.tally.push(Tally::default());
         let put = registry.put(function);
@@ -58,7 +58,7 @@
 
     /// Takes no further jobs of a function. Those that wait are served.
     pub(super) fn close(&self, f: usize) {
-        lock(&self.jobs).backlog.close(f);
+        self.jobs.lock().backlog.close(f);
     }
 
     /// A file that was read again: new functions are taken, changed ones and new settings of the site, whose
--- a/dispatcher/src/wire/gearman/timers.rs
+++ b/dispatcher/src/wire/gearman/timers.rs
@@ -1,6 +1,6 @@
 //! What time does to jobs and workers.
 
-use super::{Gearman, jobs, lock};
+use super::{Gearman, jobs};
 use crate::core::clock;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,19 +16,19 @@
         let now = clock::now();
         loop {
             let due = {
-                let mut timed = lock(&front.timed);
+                let mut timed = front.timed.lock();
                 let first = timed.first().copied().filter(|t| t.0 <= now);
                 first.inspect(|t| _ = timed.remove(t))
             };
             let Some((_, number)) = due else { break };
-            let peer = lock(&front.peers).get(&number).cloned();
+            let peer = front.peers.lock().get(&number).cloned();
             if let Some(peer) = peer {
                 peer.timed.store(0, Ordering::Relaxed);
                 // Whatever is still due is timed anew by the change.
                 peer.expire(front, now);
             }
         }
-        let mut jobs = lock(&front.jobs);
+        let mut jobs = front.jobs.lock();
         let late = jobs.backlog.tick(now, jobs::wall());
         jobs.ends.expired += late.len() as u64;
         jobs.ends.lost += late.iter().filter(|e| e.background).count() as u64;
--- a/dispatcher/src/wire/gearman/worker.rs
+++ b/dispatcher/src/wire/gearman/worker.rs
@@ -1,6 +1,6 @@
 //! The workers' side: a connection that registers a function is an upstream host of that function's fleet.
 
-use super::{Gearman, OutboxMessage, Peer, Tail, error, lock, reply};
+use super::{Gearman, OutboxMessage, Peer, Tail, error, reply};
 use crate::core::{
     ConnectionState, Input, ListedHost, OutputKind, Payload, RequestKind, UpstreamConnection, UpstreamEvent,
     UpstreamId, UpstreamRequest, clock,
@@ -116,13 +116,13 @@
     }
     /// The functions that it takes.
     pub fn able(&self) -> Vec<usize> {
-        lock(&self.worker).able().collect()
+        self.worker.lock().able().collect()
     }
 
     /// Changes its state and counts what that changes: how many workers each function has, and what the fleets of
     /// its other functions may count on.
     fn change<T>(&self, front: &Gearman, act: impl FnOnce(&mut State) -> T) -> T {
-        let mut state = lock(&self.worker);
+        let mut state = self.worker.lock();
         let old = before(&state);
         let done = act(&mut state);
         let new = before(&state);
@@ -132,7 +132,7 @@
         if old.able == new.able && old.fit == new.fit && old.engaged == new.engaged {
             return done;
         }
-        let mut jobs = lock(&front.jobs);
+        let mut jobs = front.jobs.lock();
         let registered = jobs.tally.len();
         let mut changed: Vec<usize> = Vec::with_capacity(old.able.len() + 1);
         for (side, sign) in [(&old, -1), (&new, 1)] {
@@ -179,7 +179,7 @@
             cell: CellId(0),
             kind: KindId(0),
             units: 1.0,
-            started_at: lock(&self.worker).since(),
+            started_at: self.worker.lock().since(),
         };
         let link = WorkerLink { peer: self.clone(), function };
         let link = (state != EndpointState::Gone).then(|| Arc::new(link) as Arc<dyn UpstreamConnection>);
@@ -202,7 +202,7 @@
         self.is_worker.store(true, Ordering::Relaxed);
         self.change(front, |w| w.can_do(f, limit, clock::now()));
         self.list(front, f, EndpointState::Ready);
-        let busy = lock(&self.worker).is_engaged();
+        let busy = self.worker.lock().is_engaged();
         let fleet = front.functions.load().all[f].fleet;
         front.inbox.post(Input::Capacity {
             fleet,
@@ -242,7 +242,7 @@
     /// One that was deaf has said something: it is there again.
     fn heard(self: &Arc<Self>, front: &Gearman) {
         let able = {
-            let state = lock(&self.worker);
+            let state = self.worker.lock();
             if state.is_deaf() { state.able().collect() } else { Vec::new() }
         };
         able.into_iter().for_each(|f: usize| self.list(front, f, EndpointState::Ready));
@@ -285,15 +285,15 @@
         self.heard(front);
         let now = clock::now();
         // Its clients may have left since it was chosen, or it was cancelled: nobody would want it run.
-        let chosen = lock(&self.worker).chosen().and_then(|held| Some((held.id, held.job_no()?)));
-        let stale = chosen.filter(|(_, no)| lock(&front.jobs).backlog.job(*no).is_none());
+        let chosen = self.worker.lock().chosen().and_then(|held| Some((held.id, held.job_no()?)));
+        let stale = chosen.filter(|(_, no)| front.jobs.lock().backlog.job(*no).is_none());
         if let Some((id, _)) = stale {
             let back = self.change(front, |w| w.withdraw(|held| held.id == id));
             back.into_iter().for_each(|held| never_ran(front, held.id, false));
         }
         let may_wait = {
             let able = self.able();
-            let jobs = lock(&front.jobs);
+            let jobs = front.jobs.lock();
             able.iter().any(|f| jobs.backlog.counts(*f).wants_workers())
         };
         let taken = self.change(front, |w| {
@@ -304,7 +304,7 @@
             let waits = may_wait && self.change(front, |w| w.ask(kind, now + ASK));
             return (!waits).then(|| reply(Kind::NoJob, &[]));
         };
-        lock(&self.worker).running_mut(&handle(id)).into_iter().for_each(|held| held.grabbed = now);
+        self.worker.lock().running_mut(&handle(id)).into_iter().for_each(|held| held.grabbed = now);
         front.inbox.post(Input::Upstream {
             id,
             event: UpstreamEvent::Started,
@@ -327,7 +327,7 @@
 
     /// The attempt that it runs, if that is the one it names.
     fn running(&self, name: &[u8]) -> Option<(UpstreamId, Option<u64>)> {
-        lock(&self.worker).running(name).map(|held| (held.id, held.job_no()))
+        self.worker.lock().running(name).map(|held| (held.id, held.job_no()))
     }
 
     /// It tells how its job goes.
@@ -337,7 +337,7 @@
                 let (done, of) = (number(numerator)?, number(denominator)?);
                 let (_, no) = self.running(handle)?;
                 let no = no?;
-                let mut jobs = lock(&front.jobs);
+                let mut jobs = front.jobs.lock();
                 jobs.backlog.set_progress(no, done, of);
                 let share = if of > 0 { done as f64 / of as f64 } else { 0.0 };
                 (handle, UpstreamEvent::Progress(share.clamp(0.0, 1.0)))
@@ -374,7 +374,7 @@
             }
         };
         {
-            let mut jobs = lock(&front.jobs);
+            let mut jobs = front.jobs.lock();
             jobs.backlog.record_run(held.function, clock::now() - held.grabbed);
             held.job_no().filter(|_| result.is_none()).into_iter().for_each(|no| jobs.backlog.set_failed(no));
         }
--- a/dispatcher/src/wire/http.rs
+++ b/dispatcher/src/wire/http.rs
@@ -450,13 +450,13 @@
 }
 
 /// A load report: `TEXT name=value, name=value`, with or without its first word.
-pub fn load_report(text: &str) -> Option<roselock::settings::Gauge> {
+pub fn load_report(text: &str) -> Option<roselock::settings::WorkerReport> {
     let text = text.trim();
     if text.starts_with('{') {
         return serde_json::from_str(text).ok();
     }
     let text = text.strip_prefix("TEXT").unwrap_or(text);
-    let mut gauge = roselock::settings::Gauge::default();
+    let mut gauge = roselock::settings::WorkerReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite());
         match name.trim() {
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -7,14 +7,15 @@
     UpstreamId, UpstreamRequest, clock,
 };
 use may::sync::mpsc::{Receiver, Sender, channel};
+use parking_lot::Mutex;
 use roselock::settings::Site;
 use roselock::{LoadReport, Micros, Outcome};
 use roselock_admin::metrics::Metrics;
 use roselock_dial_limiter::IMMEDIATE_CLOSE;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
 
 /// Opens connections to the hosts of the HTTP fleet.
 pub struct HttpDialer {
@@ -80,11 +81,11 @@
         self.requests.send(request).is_ok()
     }
     fn is_open(&self) -> bool {
-        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let state = self.state.lock();
         matches!(&*state, State::Open(socket) if socket.is_quiet())
     }
     fn cancel_unsent(&self) -> bool {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.state.lock();
         match &*state {
             State::Opening => {}
             State::Writing(socket) => socket.close(),
@@ -94,7 +95,7 @@
         true
     }
     fn abort(&self, _: UpstreamId) {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.state.lock();
         if let State::Open(socket) | State::Writing(socket) = std::mem::replace(&mut *state, State::Aborted) {
             socket.close();
         }
@@ -147,7 +148,7 @@
         // from here is not: its upstream request has been given up.
         if self.reader.as_ref().is_some_and(|(socket, _)| !socket.is_quiet()) {
             self.reader = None;
-            let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut state = self.state.lock();
             if !matches!(*state, State::Aborted) {
                 *state = State::Opening;
             }
@@ -205,7 +206,7 @@
 
     /// Whether it was given up before it began: not even a connection is to be seen of it then.
     fn is_aborted(&self) -> bool {
-        matches!(*self.state.lock().unwrap_or_else(PoisonError::into_inner), State::Aborted)
+        matches!(*self.state.lock(), State::Aborted)
     }
 
     /// Opens the connection. Where this machine is short of something for it, it tries again for as long as the request may
@@ -234,7 +235,7 @@
                 }
             }
         };
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.state.lock();
         if let State::Aborted = *state {
             return Err(NotOpened::Failed);
         }
@@ -303,7 +304,7 @@
     let mut left: usize = parts.iter().map(|part| part.len()).sum();
     // Within the lock, so that whoever holds it back knows whether its last byte has gone.
     socket.write_guarded(&parts, deadline, |call| {
-        let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = state.lock();
         if matches!(*state, State::Aborted) {
             return Err(ErrorKind::ConnectionAborted.into());
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -89,7 +89,7 @@
         report_x0: String,
         report_x1: String,
     }
-    Gauge {
+    WorkerReport {
         util: Option<f64>,
         latency_ms: Option<f64>,
         x0: Option<f64>,
@@ -155,7 +155,7 @@
         names(self) == names(other) && reports(self) == reports(other)
     }
     /// The figures of a report that the decisions use, by what the settings say they mean.
-    pub fn load_report(&self, g: &self::Gauge) -> crate::LoadReport {
+    pub fn load_report(&self, g: &self::WorkerReport) -> crate::LoadReport {
         let pick = |which: [bool; 2]| {
             if which[0] {
                 g.x0
