--- a/crates/capacity/src/chart.rs
+++ b/crates/capacity/src/chart.rs
@@ -11,7 +11,10 @@
 const MEASURED: RGBColor = RGBColor(20, 90, 160);
 const FITTED: RGBColor = RGBColor(190, 60, 20);
 
-/// The chart of one figure.
+/// The chart of one figure, as SVG.
+///
+/// # Errors
+/// [`CapacityError::Chart`] if it cannot be drawn.
 pub fn svg(report: &Report, series: &Series) -> Result<String, CapacityError> {
     let mut text = String::new();
     draw(report, series, &mut text).map_err(|error| CapacityError::Chart(error.to_string()))?;
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -120,7 +120,10 @@
 }
 
 impl Hollow {
-    /// One that has just started and knows no worker.
+    /// A dispatcher that has just started and knows no worker.
+    ///
+    /// # Errors
+    /// [`CapacityError::Settings`] if the site makes no valid settings.
     pub fn new(site: Site, seed: u64) -> Result<Hollow, CapacityError> {
         let settings = site.settings();
         let tick = settings.tick;
@@ -143,7 +146,10 @@
         })
     }
 
-    /// One that has called the list service and has its list.
+    /// A dispatcher that has polled discovery and has its endpoint list.
+    ///
+    /// # Errors
+    /// As [`Hollow::new`] and [`Hollow::give`]; [`CapacityError::NotReached`] if it did not poll in time.
     pub fn listed(site: Site, seed: u64) -> Result<Hollow, CapacityError> {
         let mut hollow = Hollow::new(site, seed)?;
         hollow.give(&[])?;
@@ -191,7 +197,10 @@
         self.load = None;
     }
 
-    /// Gives events to the module now; what that took.
+    /// Passes events to the decision module now; returns what that took.
+    ///
+    /// # Errors
+    /// [`CapacityError::Clock`] if the processor time cannot be read.
     pub fn give(&mut self, events: &[Event]) -> Result<Spent, CapacityError> {
         let mut actions = Vec::new();
         let (now, dispatcher) = (self.now, &mut self.dispatcher);
@@ -210,6 +219,9 @@
     }
 
     /// Lets time pass.
+    ///
+    /// # Errors
+    /// As [`Hollow::give`].
     pub fn pass(&mut self, span: Micros) -> Result<(), CapacityError> {
         let end = self.now + span;
         while let Some(at) = self.next_step().filter(|at| *at <= end) {
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -30,7 +30,10 @@
     }
 }
 
-/// Does some work and says what it took. The processor time contains that of counting allocations.
+/// Does some work and measures what it took. The processor time contains that of counting allocations.
+///
+/// # Errors
+/// [`CapacityError::Clock`] if the processor time cannot be read.
 pub fn measure<T>(work: impl FnOnce() -> T) -> Result<(T, Spent), CapacityError> {
     let mut done = None;
     let before = processor_time()?;
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -119,6 +119,9 @@
     }
 
     /// The figures as JSON.
+    ///
+    /// # Errors
+    /// [`CapacityError::Json`] if they cannot be serialized.
     pub fn json(&self) -> Result<String, CapacityError> {
         serde_json::to_string_pretty(self).map_err(CapacityError::Json)
     }
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -57,6 +57,9 @@
 }
 
 /// Runs an experiment.
+///
+/// # Errors
+/// A plan out of its bounds, a run that takes longer than the plan allows, or the error of a play.
 pub fn run(experiment: &Experiment, plan: &Plan) -> Result<Report, CapacityError> {
     plan.check()?;
     let sizes = plan.sizes_of(experiment)?;
--- a/crates/peers/src/codec.rs
+++ b/crates/peers/src/codec.rs
@@ -37,6 +37,9 @@
 }
 
 /// Decodes a datagram of this cluster.
+///
+/// # Errors
+/// Why it was rejected: malformed, too long, of another format or of another cluster.
 pub fn decode_packet(cluster: u64, bytes: &[u8]) -> Result<PacketBody, Rejected> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(Rejected::Garbage);
@@ -56,6 +59,9 @@
 }
 
 /// Decodes a frame without its length: its sender and its body.
+///
+/// # Errors
+/// As [`decode_packet`].
 pub fn decode_frame(cluster: u64, bytes: &[u8]) -> Result<(Member, FrameBody), Rejected> {
     if bytes.len() > MAX_FRAME {
         return Err(Rejected::Garbage);
