--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -18,7 +18,7 @@
 
 impl Instance {
     pub fn new(seed: u64, o: &Options) -> Result<Instance, String> {
-        let site = o.site()?;
+        let site = o.site().map_err(|e| e.to_string())?;
         let dispatcher = Dispatcher::new(site.settings.clone(), seed);
         Ok(Instance {
             dispatcher: dispatcher.map_err(|e| format!("attach: settings: {e}"))?,
