--- /dev/null
+++ b/tests/suspension.rs
@@ -0,0 +1,91 @@
+//! Workers that an operator has suspended.
+
+mod common;
+use common::driver::{Driver, InFlight};
+use common::*;
+use roselock::*;
+
+fn suspension_changed(worker: u64, suspended: bool) -> Event {
+    Event::SuspensionChanged { worker: WorkerId(worker), suspended }
+}
+
+/// Feeds jobs three at a time, as many as there are workers, that run for 0.2 s; returns the workers that are sent to.
+fn run_jobs(driver: &mut Driver, first_job: u32, rounds: u32) -> Vec<u64> {
+    let logged = driver.log.len();
+    for job in (first_job..first_job + 3 * rounds).step_by(3) {
+        driver.feed(&jobs_arrived(job..job + 3, IDEMPOTENT));
+        driver.advance(SECOND / 5);
+        for InFlight { job, attempt, .. } in driver.in_flight() {
+            driver.feed(&[attempt_started(job, attempt), attempt_ended(job, attempt, Outcome::Ok)]);
+        }
+        driver.advance(SECOND / 10);
+    }
+    sends(&driver.actions_since(logged)).into_iter().map(|(_, worker)| worker).collect()
+}
+
+#[test]
+fn a_suspended_worker_is_sent_nothing_whatever_the_list_says_until_it_is_restored() {
+    let mut driver = Driver::with_workers(settings(), 3);
+    assert!(run_jobs(&mut driver, 0, 30).contains(&1), "it is in use before");
+    driver.feed(&[suspension_changed(1, true)]);
+    assert!(driver.dispatcher.is_avoided(WorkerId(1)));
+    assert!(!run_jobs(&mut driver, 100, 30).contains(&1), "sent to while suspended");
+    // The list says that it is ready, then it restarts; to suspend it twice is the same as once.
+    driver.feed(&[list_changes(vec![ready(1)]), suspension_changed(1, true)]);
+    assert!(!run_jobs(&mut driver, 200, 30).contains(&1), "sent to after the list named it ready");
+    let restarted = endpoint(1, EndpointState::Ready, Some(driver.now));
+    driver.feed(&[list_changes(vec![restarted])]);
+    let endpoints = (0..3).map(|w| endpoint(w, EndpointState::Ready, (w == 1).then_some(driver.now)));
+    let complete = complete_list(endpoints.collect());
+    driver.feed(&[complete]);
+    assert!(!run_jobs(&mut driver, 300, 30).contains(&1), "sent to after its restart");
+    driver.feed(&[suspension_changed(1, false)]);
+    assert!(!driver.dispatcher.is_avoided(WorkerId(1)));
+    let sent = run_jobs(&mut driver, 400, 15).iter().filter(|worker| **worker == 1).count();
+    assert!(sent > 0, "not used within 4.5 s of being restored");
+}
+
+#[test]
+fn a_worker_that_is_suspended_before_it_is_listed_counts_as_draining() {
+    let mut driver = Driver::new(settings());
+    driver.feed(&[suspension_changed(2, true), ready_workers(3)]);
+    assert!(!run_jobs(&mut driver, 0, 30).contains(&2));
+    // To restore one that was never suspended changes nothing.
+    driver.feed(&[suspension_changed(0, false), suspension_changed(2, false)]);
+    assert!(run_jobs(&mut driver, 100, 40).contains(&2));
+}
+
+/// Guards against a poll schedule that takes the time of a suspension for that of discovery's answer.
+#[test]
+fn a_suspension_does_not_count_as_an_answer_of_discovery() {
+    let next_poll_delay = |with_suspension: bool| {
+        let mut settings = settings();
+        settings.watch_required = true;
+        settings.fleet_size = 100;
+        settings.instance_index = 7;
+        settings.safety.poll_interval = 10 * SECOND;
+        let mut dispatcher = Dispatcher::new(settings, 3).expect("sound settings");
+        let mut actions = Vec::new();
+        dispatcher.step(0, &[ready_workers(3)], &mut actions);
+        let (_, token) = last_timer(&actions).expect("a first poll");
+        dispatcher.step(SECOND, &[Event::TimerFired(token)], &mut actions);
+        if with_suspension {
+            let events = [suspension_changed(1, true), suspension_changed(1, false)];
+            dispatcher.step(SECOND + 1000, &events, &mut actions);
+        }
+        actions.clear();
+        let refused = watch_ended(WatchEndReason::Refused, 3 * SECOND);
+        dispatcher.step(3 * SECOND, &[refused], &mut actions);
+        let (delay, _) = last_timer(&actions).expect("a further poll");
+        delay
+    };
+    assert_eq!(next_poll_delay(true), next_poll_delay(false));
+}
+
+/// Delay and token of the last timer that is set.
+fn last_timer(actions: &[Action]) -> Option<(Micros, u64)> {
+    actions.iter().rev().find_map(|action| match action {
+        Action::Timer { delay, token } => Some((*delay, *token)),
+        _ => None,
+    })
+}
