--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -2,73 +2,73 @@
 //! standard output. End of input exits with 0, malformed input with 1 and a message on standard error.
 
 mod instance;
+mod instances;
+mod reply;
 mod wire;
 
-use instance::Instance;
-use roselock::settings::micros;
-use std::collections::BTreeMap;
-use std::fmt::Write as _;
-use std::io::{BufRead, BufReader, Write, stdin, stdout};
+use instances::{BatchError, Instances};
+use std::io::{self, BufRead, BufReader, Write, stdin, stdout};
 use std::process::ExitCode;
 
-fn answer(instances: &mut BTreeMap<u64, Instance>, line: &str, reply: &mut String) -> Result<(), String> {
-    let batch: wire::Batch = serde_json::from_str(line).map_err(|e| format!("not a batch of events: {e}"))?;
-    let now = micros(batch.clock);
-    reply.clear();
-    let _ = write!(reply, r#"{{"batch":{},"schedulers":["#, batch.batch);
-    let mut first = true;
-    for group in &batch.schedulers {
-        let at = |e: String| format!("scheduler {}: {e}", group.id);
-        for event in &group.events {
-            match event {
-                wire::Event::Attach { seed, options } => {
-                    instances.insert(group.id, Instance::new(*seed, options).map_err(at)?);
-                }
-                wire::Event::Down => {
-                    instances.remove(&group.id);
-                }
-                // Without an attach there is no instance to tell.
-                event => {
-                    if let Some(instance) = instances.get_mut(&group.id) {
-                        instance.take(now, event).map_err(at)?;
-                    }
-                }
-            }
-        }
-        let Some(instance) = instances.get_mut(&group.id).filter(|_| !group.events.is_empty()) else {
-            continue;
-        };
-        let before = reply.len();
-        let comma = if first { "" } else { "," };
-        let _ = write!(reply, r#"{comma}{{"schedulerId":{},"do":["#, group.id);
-        let actions = reply.len();
-        instance.step(now, reply);
-        if reply.len() == actions {
-            reply.truncate(before);
-        } else {
-            reply.push_str("]}");
-            first = false;
-        }
-    }
-    reply.push_str("]}\n");
-    Ok(())
+/// Size of the input buffer, in bytes.
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
+
+/// Why a line can't be answered.
+#[derive(Debug, thiserror::Error)]
+enum LineError {
+    #[error("{0}")]
+    Read(io::Error),
+    #[error("not UTF-8: {0}")]
+    NotUtf8(#[from] std::str::Utf8Error),
+    #[error(transparent)]
+    Batch(#[from] BatchError),
+    #[error("cannot write the reply: {0}")]
+    Write(io::Error),
+}
+
+/// An error with the number of its line, from 1.
+#[derive(Debug, thiserror::Error)]
+#[error("line {number}: {source}")]
+struct RunError {
+    number: u64,
+    source: LineError,
+}
+
+/// Input and output of the process, with their buffers.
+struct Wire<R, W> {
+    input: R,
+    output: W,
+    line: Vec<u8>,
+    reply: String,
 }
 
-fn run() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 16, stdin().lock());
-    let mut output = stdout().lock();
-    let mut instances = BTreeMap::new();
-    let (mut line, mut reply) = (Vec::new(), String::new());
-    for number in 1.. {
-        line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("line {number}: {e}"))?;
+impl<R: BufRead, W: Write> Wire<R, W> {
+    /// Answers the next line; returns `false` at the end of the input.
+    fn answer_line(&mut self, instances: &mut Instances) -> Result<bool, LineError> {
+        self.line.clear();
+        let read = self.input.read_until(b'\n', &mut self.line).map_err(LineError::Read)?;
         if read == 0 {
-            break;
+            return Ok(false);
         }
-        let text = std::str::from_utf8(&line).map_err(|e| format!("line {number}: not UTF-8: {e}"))?;
-        answer(&mut instances, text, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
-        let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-        sent.map_err(|e| format!("line {number}: cannot write the reply: {e}"))?;
+        let text = std::str::from_utf8(&self.line)?;
+        instances.answer(text, &mut self.reply)?;
+        self.output.write_all(self.reply.as_bytes()).map_err(LineError::Write)?;
+        self.output.flush().map_err(LineError::Write)?;
+        Ok(true)
+    }
+}
+
+fn run() -> Result<(), RunError> {
+    let mut instances = Instances::default();
+    let mut wire = Wire {
+        input: BufReader::with_capacity(INPUT_BUFFER_BYTES, stdin().lock()),
+        output: stdout().lock(),
+        line: Vec::new(),
+        reply: String::new(),
+    };
+    let mut number = 1;
+    while wire.answer_line(&mut instances).map_err(|source| RunError { number, source })? {
+        number += 1;
     }
     Ok(())
 }
@@ -76,8 +76,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("roselock-simhost: {message}");
+        Err(error) => {
+            eprintln!("roselock-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The wire's messages as they stand on a line: names as text, seconds as numbers.
+//! The messages of the simulator's wire as they stand on a line. Names of types and fields mirror the wire's own words; names
+//! of things are text, times are in seconds. An event is a JSON array, its values are told apart by position.
 
 use roselock::settings::{Options, WorkerReport};
 use serde::Deserialize;
@@ -6,33 +7,33 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// A name; a number stands for none (tenants are 0 where a site has none).
+/// A name; a number reads as the empty name (tenants are 0 where a site has none).
 #[derive(Debug, Default)]
 pub struct Name<'a>(pub Cow<'a, str>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for Name<'a> {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct V;
-        impl<'de> Visitor<'de> for V {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct NameVisitor;
+        impl<'de> Visitor<'de> for NameVisitor {
             type Value = Name<'de>;
-            fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                f.write_str("a name")
+            fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+                formatter.write_str("a name")
             }
-            fn visit_borrowed_str<E: Error>(self, s: &'de str) -> Result<Name<'de>, E> {
-                Ok(Name(Cow::Borrowed(s)))
+            fn visit_borrowed_str<E: Error>(self, text: &'de str) -> Result<Name<'de>, E> {
+                Ok(Name(Cow::Borrowed(text)))
             }
-            fn visit_str<E: Error>(self, s: &str) -> Result<Name<'de>, E> {
-                Ok(Name(Cow::Owned(s.to_owned())))
+            fn visit_str<E: Error>(self, text: &str) -> Result<Name<'de>, E> {
+                Ok(Name(Cow::Owned(text.to_owned())))
             }
             fn visit_u64<E: Error>(self, _: u64) -> Result<Name<'de>, E> {
                 Ok(Name::default())
             }
         }
-        d.deserialize_any(V)
+        deserializer.deserialize_any(NameVisitor)
     }
 }
 
-/// One line of a worker list.
+/// One entry of the endpoint list.
 #[derive(Debug)]
 pub struct Host<'a> {
     pub health: Name<'a>,
@@ -44,7 +45,7 @@
     pub worker: Name<'a>,
 }
 
-/// One event. Unknown trailing values are skipped.
+/// One event. Trailing values that are not known here are skipped.
 #[derive(Debug)]
 pub enum Event<'a> {
     Attach { seed: u64, options: Box<Options> },
@@ -60,6 +61,7 @@
     Accepted { rid: u32, round: u32 },
 }
 
+/// A client request.
 #[derive(Debug)]
 pub struct JobIn<'a> {
     pub rid: u32,
@@ -72,119 +74,129 @@
     pub budget: f64,
 }
 
-/// Reads an array's values by position; null and missing both read as absent.
+/// Reads an array's values by position; null and missing values both read as absent.
 struct Values<A>(A);
 
 impl<'de, A: SeqAccess<'de>> Values<A> {
+    /// The next value, if it is there.
     fn get<T: Deserialize<'de>>(&mut self) -> Result<Option<T>, A::Error> {
         Ok(self.0.next_element::<Option<T>>()?.flatten())
     }
-    fn or<T: Deserialize<'de> + Default>(&mut self) -> Result<T, A::Error> {
+    /// The next value, or its type's default.
+    fn or_default<T: Deserialize<'de> + Default>(&mut self) -> Result<T, A::Error> {
         Ok(self.get()?.unwrap_or_default())
     }
+    /// The next value, which must be there; `what` names it in the error.
     fn need<T: Deserialize<'de>>(&mut self, what: &str) -> Result<T, A::Error> {
         self.get()?.ok_or_else(|| A::Error::custom(format_args!("{what} is missing")))
     }
-    fn skip(&mut self, n: usize) -> Result<(), A::Error> {
-        for _ in 0..n {
+    fn skip(&mut self, count: usize) -> Result<(), A::Error> {
+        for _ in 0..count {
             self.0.next_element::<IgnoredAny>()?;
         }
         Ok(())
     }
-    fn rest(mut self) -> Result<(), A::Error> {
+    fn skip_rest(mut self) -> Result<(), A::Error> {
         while self.0.next_element::<IgnoredAny>()?.is_some() {}
         Ok(())
     }
 }
 
+/// Implements `Deserialize` for a type that stands as a JSON array, which `$read` reads value by value.
 macro_rules! from_array {
-    ($kind:ident, $what:literal, $read:expr) => {
+    ($kind:ident, $what:literal, $read:ident) => {
         impl<'de: 'a, 'a> Deserialize<'de> for $kind<'a> {
-            fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-                struct V;
-                impl<'de> Visitor<'de> for V {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                struct ArrayVisitor;
+                impl<'de> Visitor<'de> for ArrayVisitor {
                     type Value = $kind<'de>;
-                    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                        f.write_str($what)
+                    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+                        formatter.write_str($what)
                     }
-                    fn visit_seq<A: SeqAccess<'de>>(self, seq: A) -> Result<$kind<'de>, A::Error> {
-                        let mut v = Values(seq);
-                        #[allow(clippy::redundant_closure_call)]
-                        let value = ($read)(&mut v)?;
-                        v.rest()?;
+                    fn visit_seq<A: SeqAccess<'de>>(self, sequence: A) -> Result<$kind<'de>, A::Error> {
+                        let mut values = Values(sequence);
+                        let value = $read(&mut values)?;
+                        values.skip_rest()?;
                         Ok(value)
                     }
                 }
-                d.deserialize_seq(V)
+                deserializer.deserialize_seq(ArrayVisitor)
             }
         }
     };
 }
 
-fn host<'de, A: SeqAccess<'de>>(v: &mut Values<A>) -> Result<Host<'de>, A::Error> {
+fn read_host<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Host<'de>, A::Error> {
     Ok(Host {
-        health: v.need("a worker's health")?,
-        site: v.or()?,
-        cell: v.or()?,
-        sku: v.or()?,
-        units: v.or()?,
-        up_since: v.or()?,
-        worker: v.need("a worker's address")?,
+        health: values.need("a worker's health")?,
+        site: values.or_default()?,
+        cell: values.or_default()?,
+        sku: values.or_default()?,
+        units: values.or_default()?,
+        up_since: values.or_default()?,
+        worker: values.need("a worker's address")?,
     })
 }
-from_array!(Host, "a line of the worker list", host);
+from_array!(Host, "a line of the worker list", read_host);
 
-fn event<'de, A: SeqAccess<'de>>(v: &mut Values<A>) -> Result<Event<'de>, A::Error> {
-    let tag: Name = v.need("the event's name")?;
-    Ok(match &*tag.0 {
-        "attach" => Event::Attach { seed: v.need("seed")?, options: v.need("options")? },
+fn read_event<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
+    let name: Name = values.need("the event's name")?;
+    Ok(match &*name.0 {
+        "attach" => Event::Attach { seed: values.need("seed")?, options: values.need("options")? },
         "fleet" => {
-            v.skip(1)?;
-            Event::Fleet { mode: v.need("mode")?, hosts: v.or()? }
+            values.skip(1)?;
+            Event::Fleet { mode: values.need("mode")?, hosts: values.or_default()? }
         }
         "jobIn" => {
-            let (rid, memory) = (v.need("rid")?, v.or()?);
-            v.skip(2)?;
+            let rid = values.need("rid")?;
+            let memory = values.or_default()?;
+            values.skip(2)?;
             Event::JobIn(JobIn {
                 rid,
                 memory,
-                hint: v.get()?,
-                service: v.need("service")?,
-                slots: v.get()?.unwrap_or(1.0),
-                team: v.or()?,
-                key: v.or()?,
-                budget: v.need("budgetS")?,
+                hint: values.get()?,
+                service: values.need("service")?,
+                slots: values.get()?.unwrap_or(1.0),
+                team: values.or_default()?,
+                key: values.or_default()?,
+                budget: values.need("budgetS")?,
             })
         }
         "down" => Event::Down,
         "health" => {
-            v.skip(1)?;
-            Event::Health { verdict: v.or()?, worker: v.need("worker")?, gauge: v.or()? }
+            values.skip(1)?;
+            Event::Health {
+                verdict: values.or_default()?,
+                worker: values.need("worker")?,
+                gauge: values.or_default()?,
+            }
         }
         "notice" => {
-            let (rid, round) = (v.need("rid")?, v.need("roundNo")?);
-            v.skip(1)?;
-            Event::Notice { rid, round, what: v.or()?, amount: v.or()? }
+            let rid = values.need("rid")?;
+            let round = values.need("roundNo")?;
+            values.skip(1)?;
+            Event::Notice { rid, round, what: values.or_default()?, amount: values.or_default()? }
         }
-        "alarm" => Event::Alarm { nonce: v.need("nonce")? },
-        "cancelledByClient" => Event::Cancelled { rid: v.need("rid")? },
+        "alarm" => Event::Alarm { nonce: values.need("nonce")? },
+        "cancelledByClient" => Event::Cancelled { rid: values.need("rid")? },
         "datagram" => Event::Datagram,
         "verdict" => {
-            let (rid, round) = (v.need("rid")?, v.need("roundNo")?);
-            v.skip(1)?;
-            let verdict = v.need("verdict")?;
-            v.skip(1)?;
-            let last = v.or()?;
-            v.skip(1)?;
-            Event::Verdict { rid, round, verdict, last, gauge: v.or()? }
+            let rid = values.need("rid")?;
+            let round = values.need("roundNo")?;
+            values.skip(1)?;
+            let verdict = values.need("verdict")?;
+            values.skip(1)?;
+            let last = values.or_default()?;
+            values.skip(1)?;
+            Event::Verdict { rid, round, verdict, last, gauge: values.or_default()? }
         }
-        "accepted" => Event::Accepted { rid: v.need("rid")?, round: v.need("roundNo")? },
+        "accepted" => Event::Accepted { rid: values.need("rid")?, round: values.need("roundNo")? },
         other => return Err(A::Error::custom(format_args!("unknown event {other:?}"))),
     })
 }
-from_array!(Event, "an event", event);
+from_array!(Event, "an event", read_event);
 
-/// The events of one instance.
+/// The events of one instance, in order.
 #[derive(Debug, Deserialize)]
 pub struct Group<'a> {
     #[serde(rename = "schedulerId")]
