--- a/crates/dial-limiter/src/lib.rs
+++ b/crates/dial-limiter/src/lib.rs
@@ -6,92 +6,103 @@
 //! as its connections are all in use: the next dial waits for a backoff that doubles with each rejection and has jitter
 //! over its upper half, as in the binary exponential backoff of Ethernet (R. Metcalfe, D. Boggs, 1976); an accepted
 //! connection halves it.
+//!
+//! The crate has no I/O, clock or randomness: times and drawn numbers are arguments.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
 const SECOND: Micros = 1_000_000;
-/// A connection that is closed so soon after it came up, without a byte, was rejected.
+/// A new connection that is closed within this time, in microseconds, without a byte, was rejected.
 pub const IMMEDIATE_CLOSE: Micros = SECOND / 20;
-/// Shortest and longest backoff after a rejection.
-const BACKOFF: [Micros; 2] = [SECOND / 20, 2 * SECOND];
-/// For so long after a rejection, what must not run twice goes only on connections that were accepted.
-const CAUTIOUS_FOR: Micros = 10 * SECOND;
+/// Shortest backoff after a rejection, in microseconds.
+const MIN_BACKOFF: Micros = SECOND / 20;
+/// Longest backoff after a rejection, in microseconds.
+const MAX_BACKOFF: Micros = 2 * SECOND;
+/// For this long after a rejection, in microseconds, non-idempotent requests go only on connections that were accepted.
+const CAUTION_AFTER_REJECTION: Micros = 10 * SECOND;
 /// Smallest share of a dispatcher, in connections a second, so that none starves.
 const MIN_RATE: f64 = 0.5;
-/// A kept connection that was not used for so long is surplus where connections are scarce: it is closed, or those who dialled
-/// first would keep all others out for as long as they have work now and then.
+/// A cached connection that was idle for this long, in microseconds, is closed where connections are scarce. Otherwise the
+/// dispatchers that dialled first would keep all others out for as long as they have occasional work.
 pub const SURPLUS_AFTER: Micros = SECOND;
 
-/// What an installation allows of new connections to one worker.
+/// Limits of the new connections to one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DialLimits {
-    /// New connections a second that this dispatcher may open; none: unlimited.
+    /// New connections a second that this dispatcher may open; `None`: unlimited.
     per_s: Option<f64>,
 }
 
 impl DialLimits {
-    /// The share of one of `all` dispatchers in so many new connections a second at one worker: at least one every 2 s.
-    pub fn share_of(per_s: Option<f64>, all: u32) -> DialLimits {
-        DialLimits { per_s: per_s.map(|n| (n / f64::from(all.max(1))).max(MIN_RATE)) }
+    /// The equal share of one of `dispatchers` in this many new connections a second at one worker: at least one every 2 s.
+    #[must_use]
+    pub fn share_of(total_per_s: Option<f64>, dispatchers: u32) -> DialLimits {
+        let share = |total: f64| (total / f64::from(dispatchers.max(1))).max(MIN_RATE);
+        DialLimits { per_s: total_per_s.map(share) }
     }
 }
 
-/// Whether new connections were rejected recently, by whichever worker: where one has no connections to spare, others
-/// have none either. Then what must not run twice goes on a connection that was accepted.
+/// Whether the latest rejection of a new connection, by any worker, is recent. Where one worker has no connections to spare,
+/// others have none either, so non-idempotent requests go on connections that were accepted.
+#[must_use]
 pub fn rejected_recently(latest: Option<Micros>, now: Micros) -> bool {
-    latest.is_some_and(|at| now - at < CAUTIOUS_FOR)
+    latest.is_some_and(|at| now - at < CAUTION_AFTER_REJECTION)
 }
 
 /// The dial limiter of one worker.
 #[derive(Clone, Debug)]
 pub struct DialLimiter {
-    /// Tokens in the bucket, each for one dial, as of `filled_at`.
+    /// Tokens in the bucket at `filled_at`; each dial takes one.
     tokens: f64,
     filled_at: Micros,
-    /// The present backoff, and until when it lasts.
+    /// The present backoff, in microseconds.
     backoff: Micros,
+    /// When it ends.
     backoff_until: Micros,
 }
 
 impl DialLimiter {
-    /// For a worker of which nothing is known.
+    /// The limiter of a worker of which nothing is known.
+    #[must_use]
     pub fn new(now: Micros) -> DialLimiter {
         DialLimiter { tokens: 1.0, filled_at: now, backoff: 0, backoff_until: now }
     }
 
-    /// Tokens in the bucket now.
+    /// Tokens in the bucket at `now`.
     fn tokens_at(&self, limits: DialLimits, now: Micros) -> f64 {
         let Some(per_s) = limits.per_s else { return f64::INFINITY };
-        let more = per_s * (now - self.filled_at).max(0) as f64 / SECOND as f64;
-        (self.tokens + more).min(per_s.max(1.0))
+        let added = per_s * (now - self.filled_at).max(0) as f64 / SECOND as f64;
+        (self.tokens + added).min(per_s.max(1.0))
     }
 
     /// When the next connection may be dialled; at once if that is not after `now`.
+    #[must_use]
     pub fn next_dial_at(&self, limits: DialLimits, now: Micros) -> Micros {
         let missing = 1.0 - self.tokens_at(limits, now);
-        let token = match limits.per_s {
-            // A microsecond more, or rounding would bring the caller back just before.
+        let token_at = match limits.per_s {
+            // A microsecond more, as rounding would bring the caller back just before the token is there.
             Some(per_s) if missing > 0.0 => now + (missing / per_s * SECOND as f64) as Micros + 1,
             _ => now,
         };
-        token.max(self.backoff_until)
+        token_at.max(self.backoff_until)
     }
 
     /// Takes a token for a connection that is being dialled.
     pub fn record_dial(&mut self, limits: DialLimits, now: Micros) {
         let tokens = self.tokens_at(limits, now);
-        (self.tokens, self.filled_at) = (if tokens.is_finite() { tokens - 1.0 } else { 1.0 }, now);
+        self.tokens = if tokens.is_finite() { tokens - 1.0 } else { 1.0 };
+        self.filled_at = now;
     }
 
-    /// The worker has sent something on a new connection.
+    /// Records that the worker has sent something on a new connection.
     pub fn record_accepted(&mut self) {
         self.backoff /= 2;
     }
 
-    /// The worker has rejected a new connection. `jitter` is a new random number, uniform in 0..1.
+    /// Records that the worker has rejected a new connection. `jitter` is a new random number, uniform in 0..1.
     pub fn record_rejected(&mut self, now: Micros, jitter: f64) {
-        self.backoff = (self.backoff * 2).clamp(BACKOFF[0], BACKOFF[1]);
+        self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
         self.backoff_until = now + (self.backoff as f64 * (0.5 + jitter / 2.0)) as Micros;
     }
 }
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,7 +1,11 @@
-//! How a dispatcher starts where hundreds start in the same second, without I/O, clock or randomness: times and
-//! drawn numbers are arguments. Nothing here decides on work; the decision module asks [`pace`] when to call the
-//! list service, on real sockets and in the simulator alike; [`dial_limiter`] says when a worker may be dialled; [`lease`]
-//! how long a list may be acted on; [`stage`] says how far a start has come.
+//! The client side of discovery, without I/O, clock or randomness: times and drawn numbers are arguments.
+//!
+//! - [`poll_schedule`] says when a dispatcher calls the list service. Hundreds of dispatchers may start in the same second and
+//!   don't coordinate.
+//! - [`lease`] says for how long an endpoint list may be acted on.
+//! - [`startup_stage`] says how far a start has come, for operators.
+//!
+//! The dispatcher on real sockets and the simulations use the same code.
 
 pub mod lease;
 pub mod poll_schedule;
--- a/crates/discovery-client/src/poll_schedule.rs
+++ b/crates/discovery-client/src/poll_schedule.rs
@@ -1,113 +1,131 @@
-//! The pace of calls to the list service, which serves one call after another, to all dispatchers.
+//! When a dispatcher calls the list service, which serves one call after another, to all dispatchers.
 //!
-//! Nobody tells a dispatcher how much that service bears, and dispatchers don't talk. So each keeps an estimate of the
-//! time that one call takes the service, and calls at a place of its own in a *round*: that time for each dispatcher.
-//! The estimate follows what the service shows: a call that fails after a wait doubles it, one that is answered draws it to
-//! what its time speaks for. It is the rule of additive increase and multiplicative decrease (D. Chiu, R. Jain:
-//! *Analysis of the Increase and Decrease Algorithms for Congestion Avoidance*, 1989) turned from rates to times a
-//! call, with a measured target, as a dispatcher makes too few calls to probe for one in small steps.
-
-/// A span or a point in time, in microseconds.
+//! No dispatcher knows the capacity of that service, and dispatchers don't coordinate. So each keeps an estimate of the time
+//! that one call takes the service, and calls at a position of its own in a *round*: that time for each dispatcher. The
+//! estimate follows the calls: one that fails after a wait doubles it, one that is answered draws it to what its duration
+//! indicates. It is the rule of additive increase and multiplicative decrease (D. Chiu, R. Jain: *Analysis of the Increase and
+//! Decrease Algorithms for Congestion Avoidance*, 1989) turned from rates to time per call, with a measured target, as a
+//! dispatcher makes too few calls to approach one in small steps.
+
+use std::ops::Range;
+
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
 
 const SECOND: Micros = 1_000_000;
-/// The golden ratio: its multiples, less their whole parts, lie evenly.
+/// The golden ratio, less one: the fractional parts of its multiples are evenly distributed.
 pub const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
-/// Of a round, over the calls' own time, so that a queue that formed goes away.
+/// Factor of a round's length over the time of its calls, so that a queue at the service empties.
 const MARGIN: f64 = 1.25;
-/// Bounds of the estimate.
+/// Lower bound of the estimate, in microseconds.
 const MIN_CALL_TIME: Micros = SECOND / 1000;
+/// Upper bound of the estimate, in microseconds.
 const MAX_CALL_TIME: Micros = SECOND;
-/// Least wait after a break or a failure; a failed call doubles it.
+/// Shortest backoff after a broken watch or a failed call, in microseconds; a failed call doubles it.
 const MIN_BACKOFF: Micros = SECOND / 4;
-/// A failure within this span says nothing of how long calls wait.
+/// A call that failed sooner than this, in microseconds, did not wait in the service's queue.
 const IMMEDIATE_FAILURE: Micros = SECOND / 4;
-/// Where in a round a call comes after more than [`PROMPT_RETRIES`] in a row that waited in vain.
-const LATE_RETRY_POSITION: std::ops::Range<f64> = 0.5..1.2;
-/// An empty line comes on a watch every 2 s: one that says nothing for so long is broken.
+/// Position in a round of the call after more than [`PROMPT_RETRIES`] timeouts in a row.
+const LATE_RETRY_POSITION: Range<f64> = 0.5..1.2;
+/// A watch that sent nothing for this long, in microseconds, is broken: an empty line comes on it every 2 s.
 pub const WATCH_TIMEOUT: Micros = SECOND * 5 / 2;
-/// What the list service has known for so long counts as told, heard or not.
+/// A change that the list service has known for this long, in microseconds, counts as notified, received or not.
 pub const NOTIFICATION_DEADLINE: Micros = 6 * SECOND;
-/// How long a call takes to be answered, with its connection, in a service that does its work.
+/// Time until a call is answered by a service that is not overloaded, connecting included, in microseconds.
 pub(crate) const EXPECTED_CALL_TIME: Micros = SECOND;
-/// The longest time from the moment up to which the list was in step to the next call that leaves time for its answer.
+/// The longest time from the moment up to which the list was in sync to the next call, in microseconds, that leaves time for
+/// its answer.
 const MAX_FIRST_DELAY: Micros = NOTIFICATION_DEADLINE - 3 * EXPECTED_CALL_TIME / 2;
-/// The longest wait after a watch broke, from then on.
+/// The same from the moment at which a silent watch was found to be broken.
 const MAX_DELAY_AFTER_BREAK: Micros = NOTIFICATION_DEADLINE - WATCH_TIMEOUT - 3 * EXPECTED_CALL_TIME / 2;
-/// So many calls in a row that waited in vain are followed by a call in time to be told: a service that is down keeps
-/// some callers waiting, too. Those after them are the sign of a service with too many callers.
+/// Timeouts in a row that are followed by a call within the notification deadline: a service that is down makes some callers
+/// wait, too. Further timeouts indicate an overloaded service.
 const PROMPT_RETRIES: u32 = 3;
-/// Where in the time that is left such a call comes.
-const PROMPT_RETRY_POSITION: std::ops::Range<f64> = 0.5..1.0;
-/// So many times as long as otherwise a dispatcher may go without asking after a call that failed.
+/// Position of such a call in the time that is left.
+const PROMPT_RETRY_POSITION: Range<f64> = 0.5..1.0;
+/// After a failed call, a dispatcher may go without polling for this multiple of the poll interval.
 pub const FAILURE_INTERVAL_FACTOR: Micros = 4;
 
 /// Why a watch, or the call for one, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEndReason {
-    /// The service ended it: by an answer that is no list, a reset, or the end of the stream.
+    /// The service ended it: by a response that is no list, a reset, or the end of the stream.
     Refused,
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
-    /// This machine was short of something for a connection: that says nothing of the service.
+    /// This machine lacked a resource for a connection, which is no evidence about the service.
     LocalFailure,
-    /// Nothing came in time on an open connection.
+    /// Nothing came in time on an established connection.
     Silent,
 }
 
 /// The end of a watch, or of the call for one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchEnd {
-    /// Why.
+    /// Why it ended.
     pub reason: WatchEndReason,
-    /// The latest moment at which the list was in step with the service, or the service was seen not to answer: no
-    /// change before it is missed that counts as told because of it.
+    /// The latest time at which the list was in sync with the service, or the service was seen not to respond. A change before
+    /// it that counts as notified is not missed because of this end.
     pub in_sync_until: Micros,
 }
 
-/// What an installation is, for the pace.
+/// The parameters of an installation that the schedule depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollParameters {
     /// How many dispatchers share the service, this one included; at least 1.
     pub instance_count: u32,
-    /// This one's number among them, from 0.
+    /// This dispatcher's number among them, from 0.
     pub instance_index: u32,
-    /// The longest time without a call that counts as up to date; [`AFTER_FAILURE`] times as long after a failed one.
+    /// The longest time between two polls, in microseconds; [`FAILURE_INTERVAL_FACTOR`] times as long after a failed one.
     pub poll_interval: Micros,
 }
 
 impl PollParameters {
-    /// This dispatcher's place in a round, as a share of it: even over all numbers, however few of them are up.
+    /// This dispatcher's position in a round, 0 to 1: evenly distributed over all numbers, however few dispatchers run.
     fn position(&self) -> f64 {
         (f64::from(self.instance_index) * GOLDEN_RATIO).fract()
     }
-    /// The length of a round at so much time a call, within what binds.
-    fn duration(&self, call: Micros, times: Micros) -> Micros {
-        let time = f64::from(self.instance_count) * call as f64;
-        (time as Micros).min(self.poll_interval * 4 / 5 * times)
+
+    /// The length of a round with this time per call, bounded by a multiple of the poll interval.
+    fn round_length(&self, call_time: Micros, interval_factor: Micros) -> Micros {
+        let all_calls = f64::from(self.instance_count) * call_time as f64;
+        (all_calls as Micros).min(self.poll_interval * 4 / 5 * interval_factor)
     }
 }
 
-/// One dispatcher's pace.
+/// Where in its round a call is placed.
+#[derive(Clone, Copy)]
+struct CallSlot {
+    /// Position in the round: 0 is its start, 1 its end.
+    position: f64,
+    /// Multiple of the poll interval that bounds the round's length.
+    interval_factor: Micros,
+    /// Upper bound of the round's length, in microseconds.
+    max_delay: Micros,
+}
+
+/// One dispatcher's schedule of calls.
 #[derive(Clone, Debug)]
 pub struct PollSchedule {
-    /// What one call takes the service, as estimated, with the margin.
+    /// Estimated time that one call takes the service, in microseconds, margin included.
     call_time: Micros,
-    /// When the call that is under way began.
+    /// When the call in flight began.
     call_started_at: Option<Micros>,
-    /// How many calls of the round came before it, were all to call.
+    /// How many calls come before it in the round, if all dispatchers call.
     calls_ahead: f64,
-    /// How many calls in a row waited in vain.
+    /// Calls in a row that waited and failed.
     consecutive_timeouts: u32,
-    /// When the next call is due, if one is, and whether any was made.
+    /// When the next call is due, if one is.
     next_poll_at: Option<Micros>,
+    /// Whether any call was made.
     has_polled: bool,
-    /// Least wait before the next call.
+    /// Shortest wait before the next call, in microseconds.
     backoff: Micros,
 }
 
 impl PollSchedule {
-    /// A pace that begins with a guess of what one call takes the service, in microseconds.
+    /// A schedule that begins with this guess of the time that one call takes the service, in microseconds.
+    #[must_use]
     pub fn new(guess: Micros) -> PollSchedule {
         PollSchedule {
             call_time: guess.clamp(MIN_CALL_TIME, MAX_CALL_TIME),
@@ -120,113 +138,128 @@
         }
     }
 
-    /// What one call is held to take the service, with a margin, in microseconds.
+    /// The estimated time that one call takes the service, margin included, in microseconds.
+    #[must_use]
     pub fn call_time(&self) -> Micros {
         self.call_time
     }
 
-    /// How long to wait before the first call.
-    pub fn first_delay(&mut self, round: PollParameters) -> Micros {
-        self.delay_at(round, round.position(), 1, MAX_FIRST_DELAY)
+    /// How long to wait before the first call, in microseconds.
+    pub fn first_delay(&mut self, parameters: PollParameters) -> Micros {
+        let position = parameters.position();
+        self.delay(parameters, CallSlot { position, interval_factor: 1, max_delay: MAX_FIRST_DELAY })
     }
 
-    /// How long to wait before the first call to a service that has moved, where the operators want moves spread: a whole
-    /// round, as they know what a call takes.
-    pub fn delay_after_move(&mut self, round: PollParameters) -> Micros {
-        self.delay_at(round, round.position(), 1, Micros::MAX)
+    /// How long to wait before the first call to a service that has moved, in microseconds, where the operators want such calls
+    /// spread: over a whole round, as they know the time per call.
+    pub fn delay_after_move(&mut self, parameters: PollParameters) -> Micros {
+        let position = parameters.position();
+        self.delay(parameters, CallSlot { position, interval_factor: 1, max_delay: Micros::MAX })
     }
 
-    /// A call begins, if one is due: a wait that was overtaken by another, or by news, ends in none.
+    /// Begins a call at `now` if one is due and returns whether it is: a wait that was superseded by another one, or by a watch
+    /// event, ends in no call.
     pub fn begin_poll(&mut self, now: Micros) -> bool {
-        let due = self.next_poll_at.take_if(|at| *at <= now).is_some();
-        if due {
-            (self.call_started_at, self.has_polled) = (Some(now), true);
+        let is_due = self.next_poll_at.take_if(|at| *at <= now).is_some();
+        if is_due {
+            self.call_started_at = Some(now);
+            self.has_polled = true;
         }
-        due
+        is_due
     }
 
-    /// The service has told something: the call that is under way is answered, if there is one; whether there was.
+    /// Records a watch event, which answers the call in flight, if there is one; returns whether there was.
     pub fn record_answer(&mut self, now: Micros) -> bool {
-        (self.backoff, self.consecutive_timeouts) = (MIN_BACKOFF, 0);
-        // The list that one starts with is no word of the service.
+        self.backoff = MIN_BACKOFF;
+        self.consecutive_timeouts = 0;
+        // A list cached before the start is no watch event.
         self.next_poll_at.take_if(|_| self.has_polled);
-        let Some(since) = self.call_started_at.take() else { return false };
-        // No call takes the service longer than its caller waited. What waited beyond the pace is a queue, which
-        // those ahead built up together.
-        let waited = (now - since).max(MIN_CALL_TIME) as f64;
-        let before = self.call_time as f64 / MARGIN;
+        let Some(started_at) = self.call_started_at.take() else { return false };
+        // No call takes the service longer than its caller waited. A longer wait than estimated shows a queue, which the calls
+        // ahead built up together.
+        let waited = (now - started_at).max(MIN_CALL_TIME) as f64;
+        let estimate = self.call_time as f64 / MARGIN;
         // One call alone, or the first of few, may wait for other reasons: it at most doubles the estimate.
-        let shown = waited.min(before + waited / self.calls_ahead.max(1.0)).min(2.0 * before);
-        self.call_time = ((shown * MARGIN) as Micros).clamp(MIN_CALL_TIME, MAX_CALL_TIME);
+        let measured = waited.min(estimate + waited / self.calls_ahead.max(1.0)).min(2.0 * estimate);
+        self.call_time = ((measured * MARGIN) as Micros).clamp(MIN_CALL_TIME, MAX_CALL_TIME);
         true
     }
 
-    /// The call failed, or the watch broke: how long to wait before the next one. `draw` is drawn anew, even in 0..1.
+    /// Records a failed call or a broken watch; returns how long to wait before the next call, in microseconds. `draw` is a new
+    /// random number, uniform in 0..1.
     ///
-    /// What changes while the service can be reached counts as told after [`TOLD`]. So only calls that waited in its
-    /// queue in vain again and again, the sign of a service with too many callers, are followed by a longer wait.
+    /// A change counts as notified after [`NOTIFICATION_DEADLINE`] while the service can be reached. So only repeated timeouts,
+    /// which indicate an overloaded service, are followed by a longer wait.
     pub fn delay_after_end(
         &mut self,
         now: Micros,
-        round: PollParameters,
+        parameters: PollParameters,
         draw: f64,
         end: WatchEnd,
     ) -> Micros {
-        let in_time = (end.in_sync_until + MAX_FIRST_DELAY - now).max(MIN_BACKOFF);
-        let pause = self.backoff;
-        let (place, times, most) = match self.call_started_at.take() {
-            Some(since) => {
-                let waited = (now - since).max(0);
-                self.backoff = (pause * 2).min((round.poll_interval / 8).max(MIN_BACKOFF));
-                self.failed(end.reason, waited, draw, in_time)
+        let max_prompt_delay = (end.in_sync_until + MAX_FIRST_DELAY - now).max(MIN_BACKOFF);
+        let backoff = self.backoff;
+        let slot = match self.call_started_at.take() {
+            Some(started_at) => {
+                let waited = (now - started_at).max(0);
+                self.backoff = (backoff * 2).min((parameters.poll_interval / 8).max(MIN_BACKOFF));
+                self.slot_after_failure(end.reason, waited, draw, max_prompt_delay)
             }
-            // What broke under all of us at once is met like a start, where nobody stands beside another.
-            None => (round.position(), 1, in_time.min(MAX_DELAY_AFTER_BREAK)),
+            // A watch that breaks for all dispatchers at once is handled like a start: each has a position of its own.
+            None => CallSlot {
+                position: parameters.position(),
+                interval_factor: 1,
+                max_delay: max_prompt_delay.min(MAX_DELAY_AFTER_BREAK),
+            },
         };
-        let pause = pause.min(most / 2);
-        // At least the pause is spread over, where one is alone or calls take no time.
-        let spread = ((pause as f64 * place) as Micros).max(self.delay_at(round, place, times, most - pause));
-        self.next_poll_at = Some(now + pause + spread);
-        pause + spread
+        let backoff = backoff.min(slot.max_delay / 2);
+        let delay_in_round = self.delay(parameters, CallSlot { max_delay: slot.max_delay - backoff, ..slot });
+        // Calls spread at least over the backoff, where a dispatcher is alone or calls take no time.
+        let spread = ((backoff as f64 * slot.position) as Micros).max(delay_in_round);
+        self.next_poll_at = Some(now + backoff + spread);
+        backoff + spread
     }
 
-    /// Where in how many rounds the call after a failed one comes, and the longest wait before it.
-    fn failed(
+    /// Where the call after a failed one is placed.
+    fn slot_after_failure(
         &mut self,
         reason: WatchEndReason,
         waited: Micros,
         draw: f64,
-        in_time: Micros,
-    ) -> (f64, Micros, Micros) {
-        // A call that waited took its place in a queue. One that failed at once cost next to nothing: the service is
-        // down or turns callers away, and is asked no less often for it once it is back.
-        let called = !matches!(reason, WatchEndReason::Unreachable | WatchEndReason::LocalFailure);
-        let queued = called && waited >= IMMEDIATE_FAILURE;
-        self.consecutive_timeouts = if queued { self.consecutive_timeouts + 1 } else { 0 };
-        if queued {
+        max_prompt_delay: Micros,
+    ) -> CallSlot {
+        // A call that waited took its place in a queue. One that failed at once cost next to nothing: the service is down or
+        // rejects callers, and is called no less often, so that its return is noticed.
+        let reached_service = !matches!(reason, WatchEndReason::Unreachable | WatchEndReason::LocalFailure);
+        let timed_out = reached_service && waited >= IMMEDIATE_FAILURE;
+        self.consecutive_timeouts = if timed_out { self.consecutive_timeouts + 1 } else { 0 };
+        if timed_out {
             self.call_time = (2 * self.call_time).clamp(MIN_CALL_TIME, MAX_CALL_TIME);
         }
-        if self.consecutive_timeouts <= PROMPT_RETRIES {
-            // Those that failed together come again at other places, beside others; who waited leaves half of the time
-            // out, so that few retries last through an outage.
-            let place = if queued {
-                PROMPT_RETRY_POSITION.start + draw * (PROMPT_RETRY_POSITION.end - PROMPT_RETRY_POSITION.start)
-            } else {
-                draw
+        if self.consecutive_timeouts > PROMPT_RETRIES {
+            // The first half of a round is left out: drawn from all of it, the next call would come after half a round on average, and
+            // the service would be called twice as often as the round says.
+            return CallSlot {
+                position: position_in(LATE_RETRY_POSITION, draw),
+                interval_factor: FAILURE_INTERVAL_FACTOR,
+                max_delay: Micros::MAX,
             };
-            return (place, FAILURE_INTERVAL_FACTOR / 2, in_time);
         }
-        // Most of a round is left out: drawn from all of it, the next call would come after half a round on average,
-        // and the service be called twice as often as the round says.
-        (
-            LATE_RETRY_POSITION.start + draw * (LATE_RETRY_POSITION.end - LATE_RETRY_POSITION.start),
-            FAILURE_INTERVAL_FACTOR,
-            Micros::MAX,
-        )
+        // Calls that failed together are retried at other positions, beside others; after a timeout half of the time is left
+        // out, so that few retries last through an outage.
+        let position = if timed_out { position_in(PROMPT_RETRY_POSITION, draw) } else { draw };
+        CallSlot { position, interval_factor: FAILURE_INTERVAL_FACTOR / 2, max_delay: max_prompt_delay }
     }
 
-    fn delay_at(&mut self, round: PollParameters, place: f64, times: Micros, most: Micros) -> Micros {
-        self.calls_ahead = place * f64::from(round.instance_count);
-        (round.duration(self.call_time, times).min(most) as f64 * place) as Micros
+    /// The time from the start of a round to a call in it, in microseconds.
+    fn delay(&mut self, parameters: PollParameters, slot: CallSlot) -> Micros {
+        self.calls_ahead = slot.position * f64::from(parameters.instance_count);
+        let round_length = parameters.round_length(self.call_time, slot.interval_factor);
+        (round_length.min(slot.max_delay) as f64 * slot.position) as Micros
     }
 }
+
+/// The position in a range that a number drawn from 0..1 stands for.
+fn position_in(range: Range<f64>, draw: f64) -> f64 {
+    range.start + draw * (range.end - range.start)
+}
