--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,10 @@
-//! What on-call staff use, without I/O, clock or randomness: the calls of the admin address and their answers
-//! ([`command`]), the figures that `METRICS` shows ([`metrics`]), and the file of workers out by hand that outlives an
-//! upgrade ([`suspension_file`]). Times are arguments.
+//! The parts of the dispatcher that operators deal with, without I/O, clock or randomness: times are arguments.
+//!
+//! - [`command`] parses the commands of the admin address, one a line.
+//! - [`metrics`] counts what `METRICS` shows.
+//! - [`suspension_file`] is the format of the file that keeps suspended workers across an upgrade.
 
 pub mod command;
+mod line_reader;
 pub mod metrics;
 pub mod suspension_file;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,65 +1,66 @@
-//! The figures that `METRICS` shows: counted where each event happens, with atomics that nobody locks.
+//! The metrics that `METRICS` shows, counted where each event happens, with atomics and without locks.
 
 use roselock_discovery_client::startup_stage::{StartupProgress, StartupStage};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, AtomicU8, AtomicU64, Ordering};
 
-/// The counts of one class, from the start of the process.
+/// The counters of one request class, from the start of the process.
 #[derive(Default)]
 pub struct ClassCounters {
-    /// Jobs served.
+    /// Requests served.
     pub answered: AtomicU64,
-    /// Jobs refused: a local reply of 429 or 503.
+    /// Requests rejected: a local response of 429 or 503.
     pub deferred: AtomicU64,
-    /// Jobs failed: any other final answer that is not a worker's result.
+    /// Requests failed: any other final answer that is not a worker's result.
     pub errored: AtomicU64,
-    /// Upstream requests written whole to workers.
+    /// Attempts that were written to workers as a whole.
     pub sends: AtomicU64,
 }
 
-/// How a stream ended, for the counts.
+/// How a request ended, for the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobResult {
     /// Served.
     Answered,
-    /// Refused.
+    /// Rejected.
     Deferred,
-    /// Failed or out of time.
+    /// Failed or timed out.
     Errored,
 }
 
-/// All figures of a process.
+/// All metrics of a process.
 pub struct Metrics {
-    names: Vec<String>,
+    class_names: Vec<String>,
     classes: Vec<ClassCounters>,
-    /// Streams taken and not ended.
+    /// Requests admitted and not ended.
     pub current: AtomicI64,
-    /// Workers in the list; the owner of the decisions sets it.
+    /// Workers in the endpoint list.
     pub cluster_size: AtomicU64,
-    /// Those of them that are avoided, by hand or by choice.
+    /// Workers among them that are avoided: suspended, or ejected as outliers.
     pub cluster_unhealthy: AtomicU64,
-    /// How far the start has come, and the calls to the list service, of them failed; the owner sets them.
+    /// Number of the [`StartupStage`].
     stage: AtomicU8,
+    /// Calls to the list service.
     list_calls: AtomicU64,
+    /// Calls among them that failed.
     failed_list_calls: AtomicU64,
-    /// How long after the start the first list came, in milliseconds; less than 0 before.
+    /// Time from the start to the first list, in milliseconds; negative before.
     confirmed_ms: AtomicI64,
-    /// Lists that made no sense and were dropped.
-    lists_spoilt: AtomicU64,
+    /// Lists that were dropped as malformed.
+    malformed_lists: AtomicU64,
 }
 
-/// The start as shown.
+/// The progress of the start, as shown.
 #[derive(Serialize)]
 struct StartupSnapshot {
     stage: &'static str,
     list_calls: u64,
     list_calls_failed: u64,
-    /// Seconds.
     confirmed_after_s: Option<f64>,
 }
 
-/// The figures of a class as shown.
+/// The counters of a class, as shown.
 #[derive(Serialize)]
 struct ClassSnapshot {
     answered: u64,
@@ -68,6 +69,7 @@
     sends: u64,
 }
 
+/// All metrics, as shown. Operators' tools read these keys.
 #[derive(Serialize)]
 struct Snapshot<'a> {
     transactions: BTreeMap<&'a str, ClassSnapshot>,
@@ -76,16 +78,18 @@
     current: i64,
     cluster_size: u64,
     cluster_unhealthy: u64,
-    lists_spoilt: u64,
+    #[serde(rename = "lists_spoilt")]
+    malformed_lists: u64,
     start: StartupSnapshot,
 }
 
 impl Metrics {
-    /// Nothing counted yet, for classes of these names, by their numbers.
-    pub fn new(names: Vec<String>) -> Metrics {
-        let classes = names.iter().map(|_| ClassCounters::default()).collect();
+    /// Metrics with all counters at zero, for request classes with these names, by class id.
+    #[must_use]
+    pub fn new(class_names: Vec<String>) -> Metrics {
+        let classes = class_names.iter().map(|_| ClassCounters::default()).collect();
         Metrics {
-            names,
+            class_names,
             classes,
             current: AtomicI64::new(0),
             cluster_size: AtomicU64::new(0),
@@ -94,85 +98,113 @@
             list_calls: AtomicU64::new(0),
             failed_list_calls: AtomicU64::new(0),
             confirmed_ms: AtomicI64::new(-1),
-            lists_spoilt: AtomicU64::new(0),
+            malformed_lists: AtomicU64::new(0),
         }
     }
-    /// Counts a stream that was taken.
+
+    /// Counts a request that was admitted.
     pub fn job_admitted(&self) {
         self.current.fetch_add(1, Ordering::Relaxed);
     }
-    /// Counts a stream that its client left: it is not current any more, and counts as nothing else.
+
+    /// Counts a request whose client disconnected: it is not current any more, and has no result.
     pub fn client_disconnected(&self) {
         self.current.fetch_sub(1, Ordering::Relaxed);
     }
-    /// Counts a stream's end, of a class by its number, once; `counted` says whether it was counted as taken.
-    pub fn job_ended(&self, class: usize, end: JobResult, counted: bool) {
-        if counted {
+
+    /// Counts the end of a request, once. `class` is its class id, `was_admitted` says whether it was counted as admitted.
+    pub fn job_ended(&self, class: usize, result: JobResult, was_admitted: bool) {
+        if was_admitted {
             self.current.fetch_sub(1, Ordering::Relaxed);
         }
         let Some(class) = self.classes.get(class) else { return };
-        let count = match end {
+        let counter = match result {
             JobResult::Answered => &class.answered,
             JobResult::Deferred => &class.deferred,
             JobResult::Errored => &class.errored,
         };
-        count.fetch_add(1, Ordering::Relaxed);
+        counter.fetch_add(1, Ordering::Relaxed);
     }
-    /// Counts an upstream request that was written whole.
+
+    /// Counts an attempt that was written to a worker as a whole. `class` is the request's class id.
     pub fn attempt_sent(&self, class: usize) {
         if let Some(class) = self.classes.get(class) {
             class.sends.fetch_add(1, Ordering::Relaxed);
         }
     }
-    /// Counts a list that made no sense; how many there were.
+
+    /// Counts a malformed list; returns how many there were.
     pub fn count_malformed_list(&self) -> u64 {
-        self.lists_spoilt.fetch_add(1, Ordering::Relaxed) + 1
+        self.malformed_lists.fetch_add(1, Ordering::Relaxed) + 1
     }
-    /// Sets what the list holds.
+
+    /// Sets the number of workers in the endpoint list, and of those among them that are avoided.
     pub fn set_cluster(&self, size: usize, unhealthy: usize) {
         self.cluster_size.store(size as u64, Ordering::Relaxed);
         self.cluster_unhealthy.store(unhealthy as u64, Ordering::Relaxed);
     }
-    /// Sets how far the start has come; `first` is how long after it the first list came, in microseconds, once.
-    pub fn start(&self, start: &StartupProgress, first: Option<i64>) {
-        self.stage.store(start.stage() as u8, Ordering::Relaxed);
-        self.list_calls.store(start.calls, Ordering::Relaxed);
-        self.failed_list_calls.store(start.failed_calls, Ordering::Relaxed);
-        first.iter().for_each(|us| self.confirmed_ms.store(us / 1000, Ordering::Relaxed));
+
+    /// Sets the progress of the start. `first_list_after` is the time from the start to the first list, in microseconds, given
+    /// once.
+    pub fn start(&self, progress: &StartupProgress, first_list_after: Option<i64>) {
+        self.stage.store(progress.stage() as u8, Ordering::Relaxed);
+        self.list_calls.store(progress.calls, Ordering::Relaxed);
+        self.failed_list_calls.store(progress.failed_calls, Ordering::Relaxed);
+        if let Some(microseconds) = first_list_after {
+            self.confirmed_ms.store(microseconds / 1000, Ordering::Relaxed);
+        }
     }
-    /// How far the start has come.
+
+    /// The stage of the start.
+    #[must_use]
     pub fn stage(&self) -> StartupStage {
         StartupStage::from_number(self.stage.load(Ordering::Relaxed))
     }
-    /// The line that `METRICS` shows, without its end.
+
+    /// The line that `METRICS` shows, as JSON, without its end.
+    #[must_use]
     pub fn render(&self) -> String {
-        let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let transactions = self.names.iter().zip(&self.classes).map(|(name, class)| {
-            let shown = ClassSnapshot {
-                answered: get(&class.answered),
-                deferred: get(&class.deferred),
-                errored: get(&class.errored),
-                sends: get(&class.sends),
-            };
-            (name.as_str(), shown)
-        });
-        let transactions: BTreeMap<&str, ClassSnapshot> = transactions.collect();
-        let all = Snapshot {
-            sends: transactions.values().map(|shown| shown.sends).sum(),
+        serde_json::to_string(&self.snapshot()).unwrap_or_else(|_| "{}".to_owned())
+    }
+
+    fn snapshot(&self) -> Snapshot<'_> {
+        let mut transactions = BTreeMap::new();
+        for (name, counters) in self.class_names.iter().zip(&self.classes) {
+            transactions.insert(name.as_str(), counters.snapshot());
+        }
+        Snapshot {
+            sends: transactions.values().map(|class| class.sends).sum(),
             transactions,
             current: self.current.load(Ordering::Relaxed).max(0),
-            cluster_size: get(&self.cluster_size),
-            cluster_unhealthy: get(&self.cluster_unhealthy),
-            lists_spoilt: get(&self.lists_spoilt),
-            start: StartupSnapshot {
-                stage: self.stage().description(),
-                list_calls: get(&self.list_calls),
-                list_calls_failed: get(&self.failed_list_calls),
-                confirmed_after_s: Some(self.confirmed_ms.load(Ordering::Relaxed))
-                    .filter(|ms| *ms >= 0)
-                    .map(|ms| ms as f64 / 1e3),
-            },
-        };
-        serde_json::to_string(&all).unwrap_or_else(|_| "{}".to_owned())
+            cluster_size: load(&self.cluster_size),
+            cluster_unhealthy: load(&self.cluster_unhealthy),
+            malformed_lists: load(&self.malformed_lists),
+            start: self.startup_snapshot(),
+        }
+    }
+
+    fn startup_snapshot(&self) -> StartupSnapshot {
+        let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
+        StartupSnapshot {
+            stage: self.stage().description(),
+            list_calls: load(&self.list_calls),
+            list_calls_failed: load(&self.failed_list_calls),
+            confirmed_after_s: (confirmed_ms >= 0).then(|| confirmed_ms as f64 / 1e3),
+        }
     }
 }
+
+impl ClassCounters {
+    fn snapshot(&self) -> ClassSnapshot {
+        ClassSnapshot {
+            answered: load(&self.answered),
+            deferred: load(&self.deferred),
+            errored: load(&self.errored),
+            sends: load(&self.sends),
+        }
+    }
+}
+
+fn load(counter: &AtomicU64) -> u64 {
+    counter.load(Ordering::Relaxed)
+}
