--- /dev/null
+++ b/src/decisions/release_tests.rs
@@ -0,0 +1,89 @@
+//! Margins decide which job is sent, where and when.
+
+use crate::api::*;
+use crate::state::capacity::CapacityEstimate;
+use crate::state::timers::TICK_TOKEN;
+use crate::state::workers::SLOT;
+use crate::test_support::*;
+
+#[test]
+fn prices_decide_where_a_job_is_sent() {
+    for expensive in [0, 1] {
+        let mut dispatcher = dispatcher(2);
+        set_slot_price(&mut dispatcher, expensive, 0.4);
+        let mut out = vec![];
+        dispatcher.prices.updated_at = SECOND;
+        dispatcher.step(SECOND, &[arrival(1, 1.0)], &mut out);
+        assert_eq!(sends(&out), [(1, 1 - expensive as u64)]);
+    }
+}
+
+#[test]
+fn prices_decide_which_job_is_sent() {
+    // Capacity for one. Weights count by work, so at no price the longer job has the higher margin; the
+    // slot's price takes more from it.
+    for (price, first) in [(0.0, 2), (0.8, 1)] {
+        let mut dispatcher = dispatcher(1);
+        dispatcher.workers[0].capacity[SLOT] = CapacityEstimate::new(1.0, 0);
+        set_slot_price(&mut dispatcher, 0, price);
+        let mut out = vec![];
+        dispatcher.prices.updated_at = SECOND;
+        dispatcher.step(SECOND, &[arrival(1, 0.5), arrival(2, 2.0)], &mut out);
+        assert_eq!(sends(&out), [(first, 0)]);
+    }
+}
+
+#[test]
+fn prices_decide_when_a_job_is_sent() {
+    let mut dispatcher = dispatcher(1);
+    set_slot_price(&mut dispatcher, 0, 5.0);
+    let mut out = vec![];
+    dispatcher.prices.updated_at = SECOND;
+    dispatcher.step(SECOND, &[arrival(1, 1.0)], &mut out);
+    assert_eq!(sends(&out), [], "held at a price above its payoff");
+    // The capacity is idle, so each step lowers the price until the margin is positive.
+    let mut now = SECOND;
+    while sends(&out).is_empty() && now < 20 * SECOND {
+        now += SECOND / 10;
+        dispatcher.step(now, &[Event::TimerFired(TICK_TOKEN)], &mut out);
+    }
+    assert_eq!(sends(&out), [(1, 0)]);
+    assert!(now > SECOND * 11 / 10);
+}
+
+#[test]
+fn the_window_end_moves_on_and_margins_stay_positive() {
+    let mut dispatcher = dispatcher(1);
+    let mut out = vec![];
+    dispatcher.step(200 * SECOND, &[arrival(1, 1.0)], &mut out);
+    assert!(dispatcher.prices.window_end >= 400.0);
+    assert_eq!(sends(&out), [(1, 0)]);
+}
+
+/// Found as a worker at 38 times the mean load: rejected while queued there, jobs returned to it at once,
+/// four attempts each.
+#[test]
+fn after_a_rejection_no_job_queues_there_for_a_mean_run() {
+    let mut dispatcher = dispatcher(1);
+    let report = LoadReport { free_slots: Some(0.0), ..LoadReport::default() };
+    dispatcher.workers[0].capacity[SLOT].record(0.0, 0.0, 0);
+    let mut out = vec![];
+    let mut sent = vec![];
+    for (tenths, expected) in [(0, 0), (20, 1), (21, 0), (25, 0)] {
+        let now = 10 * SECOND + tenths * SECOND / 10;
+        let slots = &mut dispatcher.workers[0].capacity[SLOT];
+        slots.mean = 0.0;
+        slots.total = 0.0;
+        slots.latest = 0.0;
+        let events = match tenths {
+            0 => vec![arrival(1, 1.0)],
+            21 => vec![first_attempt_ended(1, Outcome::Rejected, report)],
+            _ => vec![],
+        };
+        out.clear();
+        dispatcher.step(now, &events, &mut out);
+        dispatcher.step(now + 1000, &[Event::TimerFired(TICK_TOKEN)], &mut out);
+        sent.push((sends(&out).len(), expected));
+    }
+    assert!(sent.iter().all(|(count, expected)| count == expected), "{sent:?}");
+}
--- /dev/null
+++ b/src/decisions/retries.rs
@@ -0,0 +1,161 @@
+//! What follows the end of an attempt: what is learned from its outcome, and whether the job is tried again.
+
+use crate::api::*;
+use crate::dispatcher::{AttemptResult, Dispatcher};
+use crate::state::jobs::TenantClass;
+use crate::state::run_times::RunTimeSample;
+
+/// How long a worker that rejected a class beside free slots is taken to reject it, in microseconds.
+const CLASS_REJECTION_TTL: Micros = 10 * SECOND;
+/// Free slots in a report from which on a rejection is not for want of slots.
+const MIN_FREE_SLOTS: f64 = 0.5;
+
+/// An attempt that has ended, with what its booking was.
+struct EndedAttempt {
+    /// Index of the worker.
+    worker: usize,
+    tenant_class: TenantClass,
+    booked_before: f64,
+    /// Microseconds since its start, or since the send.
+    elapsed: Micros,
+    /// The worker has said nothing since the send: freeing the booking must not make a vanished worker look
+    /// empty.
+    unheard: bool,
+    /// Its run time, if it ran as far as known.
+    run: Option<RunTimeSample>,
+}
+
+impl Dispatcher {
+    /// An attempt ended.
+    pub(crate) fn attempt_ended(
+        &mut self,
+        id: JobId,
+        number: u32,
+        result: &AttemptResult,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(ended) = self.free_attempt(id, number, result) else { return };
+        self.learn_from_outcome(&ended, result, out);
+        let is_lost = match result.outcome {
+            Outcome::Reset | Outcome::ConnectFailed => true,
+            Outcome::Timeout | Outcome::Cancelled => ended.unheard,
+            _ => false,
+        };
+        if is_lost {
+            self.eject(ended.worker, out);
+        }
+        self.close_if_draining(ended.worker, out);
+        let job_ended = self.jobs.get(id).is_some_and(|job| job.ended);
+        if result.concluded || result.outcome == Outcome::Ok || job_ended {
+            self.end_job(id, out);
+        } else {
+            self.retry(id, out);
+        }
+    }
+
+    /// Frees the booking of an attempt, and takes the worker's response.
+    fn free_attempt(&mut self, id: JobId, number: u32, result: &AttemptResult) -> Option<EndedAttempt> {
+        let now = self.now;
+        let job = self.jobs.by_id.get_mut(&id)?;
+        let attempt = job.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)?;
+        attempt.in_flight = false;
+        attempt.never_ran = result.outcome.never_ran(self.settings.safety.rejection_may_have_run);
+        let worker = &mut self.workers[attempt.worker];
+        // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
+        let ran = matches!(result.outcome, Outcome::Ok | Outcome::Error);
+        if ran {
+            worker.apply_report(result.report, now);
+        }
+        let counts_as_running = attempt.started_at.is_some() || !self.settings.reports_start;
+        worker.changed = true;
+        worker.timing.attempt_ended();
+        if std::mem::take(&mut attempt.booked) {
+            worker.bookings.book(job.need, -1.0, counts_as_running, now);
+        }
+        if !ran {
+            worker.apply_report(result.report, now);
+        }
+        let elapsed = now - attempt.started_at.unwrap_or(attempt.sent_at);
+        let silent_since_send =
+            attempt.last_update_at == attempt.sent_at && worker.health.last_response_at < attempt.sent_at;
+        if ran || result.outcome == Outcome::Rejected {
+            worker.record_response(attempt.sent_at, now);
+            worker.connections.idle_since.push(now);
+        }
+        worker.connections.may_be_open = true;
+        let run = RunTimeSample {
+            class: job.class,
+            work: job.work,
+            hinted: job.hinted,
+            run_time: elapsed as f64,
+            weight: 1.0,
+        };
+        Some(EndedAttempt {
+            worker: attempt.worker,
+            tenant_class: job.tenant_class,
+            booked_before: attempt.booked_before,
+            elapsed,
+            unheard: silent_since_send && elapsed > self.prices.tick,
+            run: counts_as_running.then_some(run),
+        })
+    }
+
+    /// Learns of the worker what the outcome shows.
+    fn learn_from_outcome(&mut self, ended: &EndedAttempt, result: &AttemptResult, out: &mut Vec<Action>) {
+        let now = self.now;
+        let worker = &mut self.workers[ended.worker];
+        match result.outcome {
+            Outcome::Ok => {
+                worker.health.record_success(now);
+                if let Some(run) = &ended.run {
+                    self.slowdown.learn(&mut self.work, worker, run, now);
+                }
+            }
+            Outcome::Error => worker.health.record_error(now),
+            // Rejected beside free slots: it is the class of the tenant that the worker rejects.
+            Outcome::Rejected if result.report.free_slots.is_some_and(|free| free > MIN_FREE_SLOTS) => {
+                worker.reject_class(ended.tenant_class, now + CLASS_REJECTION_TTL);
+            }
+            Outcome::Rejected => worker.infer_slots(ended.booked_before, false, now),
+            Outcome::Reset => self.connection_reset(ended.worker, out),
+            Outcome::ConnectFailed if ended.elapsed < self.settings.limits.connect_timeout / 2 => {
+                self.infer_restart(ended.worker);
+            }
+            _ => {}
+        }
+    }
+
+    /// A reset connection may be a restart: a health check shows.
+    fn connection_reset(&mut self, index: usize, out: &mut Vec<Action>) {
+        self.infer_restart(index);
+        let worker = &mut self.workers[index];
+        worker.health.reset_is_only_sign = true;
+        if self.settings.limits.health_checks_allowed {
+            worker.health.checked_at = self.now;
+            out.push(Action::HealthCheck(worker.listed.worker));
+        }
+    }
+
+    /// Queues the job for one more attempt, where its class and the site allow one; otherwise it is answered
+    /// once nothing is in flight.
+    pub(crate) fn retry(&mut self, id: JobId, out: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.ended || job.waiting || job.streaming {
+            return;
+        }
+        let any_in_flight = job.any_in_flight();
+        let limits = &self.settings.limits;
+        let may_retry = job.is_repeatable(self.now)
+            && job.attempts.len() < limits.max_attempts as usize
+            && (!any_in_flight || limits.hedged_requests);
+        if may_retry {
+            self.jobs.requeue(id);
+        } else if !any_in_flight {
+            self.answer(id, out);
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "retries_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/decisions/send.rs
@@ -0,0 +1,125 @@
+//! A send: the booking at the worker, the limits of the attempt, and whether it may be withdrawn for want of
+//! a start.
+
+use crate::api::*;
+use crate::dispatcher::Dispatcher;
+use crate::state::jobs::{Attempt, Job};
+use crate::state::timers::MIGRATION_TOKEN;
+use crate::state::workers::{RESOURCES, SLOT, Worker};
+
+/// Microseconds that a worker may take to accept a new connection, beside the way.
+const CONNECT_ALLOWANCE: Micros = SECOND / 100;
+/// Quickest starts that an attempt may take on a new connection.
+const NEW_CONNECTION_STARTS: f64 = 4.0;
+/// Quickest starts that an attempt may take on an idle connection.
+const IDLE_CONNECTION_STARTS: f64 = 2.0;
+
+impl Dispatcher {
+    /// Sends a job to a worker, if the send guard allows it.
+    pub(crate) fn send(&mut self, id: JobId, index: usize, out: &mut Vec<Action>) {
+        let allowed = self.jobs.get(id).filter(|job| self.may_send(job, index));
+        if allowed.is_none() {
+            return;
+        }
+        let start_timeout = self.start_timeout(&self.workers[index]);
+        self.jobs.stop_waiting(id);
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if !job.attempts.is_empty() {
+            self.retry_counter.record_retry(self.settings.safety.retry_budget.as_ref(), self.now);
+        }
+        let worker = &mut self.workers[index];
+        job.attempts.push(Attempt {
+            worker: index,
+            sent_at: self.now,
+            last_update_at: self.now,
+            expected_run: job.work * worker.snapshot.run_time_per_work,
+            booked_before: worker.bookings.booked[SLOT],
+            in_flight: true,
+            booked: true,
+            start_timeout,
+            ..Attempt::default()
+        });
+        let slow_start_work = job.work.max(self.work.classes[job.class].mean_work.mean);
+        worker.bookings.book(job.need, 1.0, !self.settings.reports_start, self.now);
+        reserve(worker, job.need);
+        worker.connections.idle_since.pop();
+        worker.connections.may_be_open = true;
+        let remembered_from = self.now - self.settings.safety.overload_window;
+        worker.record_send(slow_start_work, self.now, remembered_from);
+        if let Some(key) = job.key {
+            worker.remember_key(key);
+        }
+        out.push(Action::Send { job: id, worker: worker.listed.worker, timeout: 0 });
+        if self.may_migrate(&self.jobs.by_id[&id]) {
+            out.push(Action::Timer { delay: start_timeout, token: MIGRATION_TOKEN });
+        }
+    }
+
+    /// How long an attempt may stay without a start, in microseconds: a few times the quickest start in its
+    /// zone so far, longer on a new connection.
+    fn start_timeout(&self, worker: &Worker) -> Micros {
+        let quickest = self.quickest_start.get(&worker.listed.zone).copied();
+        let quickest = quickest.unwrap_or(self.prices.tick / 8) as f64;
+        let is_new_connection = worker.connections.idle_since.is_empty();
+        let starts = if is_new_connection { NEW_CONNECTION_STARTS } else { IDLE_CONNECTION_STARTS };
+        let connect = if is_new_connection { CONNECT_ALLOWANCE } else { 0 };
+        (quickest * starts) as Micros + 2 * self.settings.tick + connect
+    }
+
+    /// Whether an attempt of the job may be withdrawn before its start: where others fill workers unseen by
+    /// us.
+    pub(crate) fn may_migrate(&self, job: &Job) -> bool {
+        let limits = &self.settings.limits;
+        limits.cancel
+            && !limits.hedged_requests
+            && self.settings.reports_start
+            && self.settings.fleet_size > 1
+            && job.idempotency == Idempotency::Idempotent
+            && job.attempts.len() < limits.max_attempts as usize
+    }
+
+    /// Load reports are old, and all dispatchers act on them: a job that may be repeated does not wait long
+    /// at a full worker.
+    pub(crate) fn withdraw_stalled(&mut self, out: &mut Vec<Action>) {
+        let mut stalled = Vec::new();
+        for (id, job) in &self.jobs.by_id {
+            if self.is_stalled(job) {
+                stalled.push(*id);
+            }
+        }
+        for id in stalled {
+            let Some(job) = self.jobs.get_mut(id) else { continue };
+            let number = job.attempts.len() - 1;
+            let attempt = &mut job.attempts[number];
+            attempt.withdrawn = true;
+            let worker = &mut self.workers[attempt.worker];
+            worker.infer_slots(attempt.booked_before, false, self.now);
+            worker.changed = true;
+            out.push(Action::Cancel { job: id, attempt: number as u32 });
+        }
+    }
+
+    /// Whether the latest attempt has passed its start timeout, and another worker is left to go to.
+    fn is_stalled(&self, job: &Job) -> bool {
+        let Some(latest) = job.attempts.last() else { return false };
+        let is_unstarted = latest.holds_booking() && latest.started_at.is_none() && !latest.withdrawn;
+        if job.ended || !is_unstarted || self.now - latest.sent_at < latest.start_timeout {
+            return false;
+        }
+        let was_tried = |worker: usize| job.attempts.iter().any(|attempt| attempt.worker == worker);
+        self.may_migrate(job) && self.placement.hash_ring.iter().any(|entry| !was_tried(entry.worker))
+    }
+}
+
+/// Takes a job's need off the free capacity that the present pass sees.
+fn reserve(worker: &mut Worker, need: [f64; 2]) {
+    for resource in RESOURCES {
+        worker.snapshot.free[resource] -= need[resource];
+    }
+    worker.health.trial_in_flight = worker.health.is_ejected();
+    if worker.snapshot.free[SLOT].is_infinite() {
+        // Only the first job of an idle worker goes unmeasured.
+        let left = worker.capacity[SLOT].latest - worker.bookings.booked[SLOT];
+        worker.snapshot.free[SLOT] = if worker.health.trial_in_flight { 0.0 } else { left };
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,19 @@
 //! Decisions of a dispatcher that pushes jobs to workers, by time-indexed bid prices.
 //!
-//! The interface is in [`api`], the decisions are in [`rules`].
+//! The interface is in [`api`]; [`Dispatcher`] takes its events. What it knows is in `state`, one part a
+//! file; what it decides is in `decisions`, one decision a file. `decisions` uses `dispatcher` and `state`,
+//! `dispatcher` uses `state`.
 
 pub mod api;
-pub mod rules;
+mod decisions;
+mod dispatcher;
 pub mod settings;
 mod state;
-
 #[cfg(test)]
-mod inner_tests;
+mod test_support;
 
 pub use api::*;
-pub use rules::Dispatcher;
+pub use dispatcher::Dispatcher;
 
 /// Compiles the example in the README.
 #[cfg(doctest)]
