--- a/dispatcher/src/core/event_loop.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -14,13 +14,16 @@
 use super::*;
 use roselock::settings::fnv;
 use roselock::{
-    Action, AttemptUpdate, Dispatcher, EndpointState, Event, Idempotency, JobId, JobRequest, Settings,
+    Action, AttemptUpdate, ClassId, Dispatcher, Endpoint, EndpointState, Event, Idempotency, JobId,
+    JobRequest, ListMode, LoadReport, Micros, Outcome, Settings, WorkerId,
 };
 use roselock_dial_limiter::{DialLimiter, DialLimits};
 use roselock_discovery_client::startup_stage::StartupProgress;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
-use std::sync::mpsc::RecvTimeoutError;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
 
 pub use administration::AdminState;
 use control_requests::UnsentWithdrawal;
@@ -29,9 +32,6 @@
 const BACKSTOP: Micros = 5_000;
 /// A process that is told to stop ends once no stream has come for so long.
 const QUIET: Micros = 400_000;
-/// What it takes on later than this after that has its answer by [`Inbox::out_by`], since soon after it the process may
-/// be killed. For earlier streams nobody counts on more than their own deadlines.
-const TAKES_ON: Micros = 600_000;
 /// How long an id counts as used, and how many are kept.
 const USED_FOR: Micros = 60_000_000;
 const USED: usize = 8192;
@@ -325,8 +325,7 @@
                 self.job_sources.iter().for_each(|f| f.shut_down());
             }
             // From the last moment on those who still come are refused at once.
-            let late =
-                self.inbox.shutdown_requested_at().is_some_and(|at| now - at >= self.inbox.drain_timeout());
+            let late = self.inbox.shutdown_deadlines().is_some_and(|deadlines| deadlines.is_drain_over(now));
             if closing
                 && self.streams.values().all(|s| s.answered)
                 && self.inbox.pending_responses() == 0
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -5,8 +5,9 @@
 impl Core {
     pub(super) fn arrive(&mut self, mut new: NewStream) {
         let now = clock::now();
-        if let Some(at) = self.inbox.shutdown_requested_at().filter(|at| now - at > TAKES_ON) {
-            new.deadline = new.deadline.min(at + self.inbox.drain_timeout());
+        let shutdown = self.inbox.shutdown_deadlines();
+        if let Some(deadline) = shutdown.and_then(|deadlines| deadlines.arrival_deadline(now)) {
+            new.deadline = new.deadline.min(deadline);
             if new.deadline <= now {
                 return self.refuse(new, Answer::Rejected(roselock::SECOND));
             }
