--- a/dispatcher/src/core/event_loop/control_requests.rs
+++ b/dispatcher/src/core/event_loop/control_requests.rs
@@ -1,117 +1,94 @@
-//! Control requests to upstream hosts: health probes, withdrawals of cancelled attempts, and connections opened ahead.
+//! Control requests to upstream hosts: health checks, withdrawals of cancelled attempts, and connections opened ahead.
 
-use super::*;
+use super::Core;
+use super::fleets::HostId;
+use super::unsent_withdrawals::UnsentWithdrawal;
+use super::upstream_requests::PendingRequest;
+use crate::core::pool::ConnectionUse;
+use crate::core::{RequestKind, UpstreamId, clock};
+use roselock::{LoadReport, Micros, Outcome};
 
-/// How long a control request may take.
+/// How long a control request may take, in microseconds. A withdrawal that did not reach its host, which may be down or
+/// full, is sent again after this time.
 const CONTROL_TIMEOUT: Micros = 250_000;
-/// A withdrawal that found no connection is tried again after so long; one that did not reach its host, which may be
-/// down or full, after [`CONTROL_TIMEOUT`].
-const RETRY: Micros = 20_000;
-/// Most withdrawals that wait to be sent again; one more is dropped.
-const MAX_UNSENT: usize = 1024;
-
-/// A withdrawal that is to be sent again.
-pub(super) struct UnsentWithdrawal {
-    pub(super) due: Micros,
-    fleet: FleetId,
-    host: WorkerId,
-    ask: RequestKind,
-    /// The attempt that ends with it.
-    withdraws: Option<UpstreamId>,
-}
+/// A withdrawal that got no connection is sent again after this time, in microseconds.
+const NO_CONNECTION_RETRY: Micros = 20_000;
 
 impl Core {
-    /// Cancels an attempt whose stream lives on. It ends when the host has answered the withdrawal, since the next
-    /// attempt might arrive before that: one that the host has yet to take is withdrawn when it has.
+    /// Cancels an attempt whose stream goes on. It ends when the host has answered the withdrawal, since the next attempt
+    /// might arrive before that. One that the host has not accepted yet is withdrawn when it has.
     pub(super) fn cancel_attempt(&mut self, id: UpstreamId) {
-        let Some(up) = self.upstreams.get_mut(&id).filter(|u| !u.ended && !u.quit) else { return };
-        if up.waits {
+        let Some(request) = self.upstreams.open_attempt_mut(id) else { return };
+        if request.withdrawal_requested {
+            return;
+        }
+        if request.in_dial_queue {
             return self.leave_dial_queue(id);
         }
-        if up.link.as_ref().is_some_and(|l| l.is_inbound()) {
-            return self.give_up(id, Outcome::Cancelled);
+        if request.is_on_inbound_connection() {
+            return self.abandon_attempt(id, Outcome::Cancelled);
         }
-        up.quit = true;
-        if up.taken {
+        request.withdrawal_requested = true;
+        if request.accepted {
             self.withdraw(id);
         }
     }
 
-    /// Withdraws an attempt that was sent.
+    /// Sends the withdrawal of an attempt.
     pub(super) fn withdraw(&mut self, id: UpstreamId) {
-        let Some((fleet, host, ask)) = self.withdrawal(id) else { return };
-        self.send_control(fleet, host, ask, Some(Need::Control), Some(id));
+        let Some((host, kind)) = self.withdrawal(id) else { return };
+        self.send_control(host, kind, Some(ConnectionUse::Control), Some(id));
     }
 
-    fn withdrawal(&self, id: UpstreamId) -> Option<(FleetId, WorkerId, RequestKind)> {
-        let up = self.upstreams.get(&id).filter(|u| !u.ended)?;
-        Some((up.fleet, up.host, RequestKind::Withdraw(self.streams.get(&up.stream)?.payload.clone())))
+    /// The withdrawal of an open attempt, and its host.
+    fn withdrawal(&self, id: UpstreamId) -> Option<(HostId, RequestKind)> {
+        let request = self.upstreams.open_attempt(id)?;
+        let payload = self.streams.get(request.stream)?.payload.clone();
+        Some((request.host, RequestKind::Withdraw(payload)))
     }
 
-    /// The connection of a control request has ended. If that was the withdrawal of an attempt, its host has not heard of
-    /// it: it is sent again, and until it arrives the attempt counts as out.
-    pub(super) fn retry_withdrawal(&mut self, control: UpstreamId) {
-        let ended = self.upstreams.get_mut(&control).filter(|u| u.link.is_none());
-        let Some(id) = ended.and_then(|u| u.withdraws.take()) else { return };
-        if let Some((fleet, host, ask)) = self.withdrawal(id) {
-            self.queue_withdrawal(UnsentWithdrawal {
-                due: clock::now() + CONTROL_TIMEOUT,
-                fleet,
-                host,
-                ask,
-                withdraws: Some(id),
-            });
-        }
+    /// The host has answered the withdrawal of an attempt, which ends with that.
+    pub(super) fn end_withdrawn_attempt(&mut self, control: UpstreamId) {
+        let withdraws = self.upstreams.get_mut(control).and_then(|request| request.withdraws.take());
+        let Some(attempt) = withdraws else { return };
+        self.mark_late_report_possible(attempt);
+        self.end_attempt_without_report(attempt, Outcome::Cancelled);
+        self.upstreams.remove_if_done(attempt);
     }
 
-    fn queue_withdrawal(&mut self, unsent: UnsentWithdrawal) {
-        if self.unsent.len() < MAX_UNSENT {
-            let at = self.unsent.partition_point(|u| u.due <= unsent.due);
-            self.unsent.insert(at, unsent);
-        } else {
-            tracing::warn!("more than {MAX_UNSENT} withdrawals wait: one is dropped");
+    /// If the connection of a withdrawal has ended before the answer, its host may not know of it: it is sent again, and
+    /// until it arrives the attempt counts as in flight.
+    pub(super) fn retry_withdrawal(&mut self, control: UpstreamId) {
+        let Some(request) = self.upstreams.get_mut(control) else { return };
+        if request.connection.is_some() {
+            return;
         }
+        let Some(attempt) = request.withdraws.take() else { return };
+        let Some((host, kind)) = self.withdrawal(attempt) else { return };
+        let due_at = clock::now() + CONTROL_TIMEOUT;
+        self.unsent_withdrawals.push(UnsentWithdrawal { due_at, host, kind, withdraws: Some(attempt) });
     }
 
-    /// A health probe had no answer.
-    pub(super) fn probe_failed(&mut self, fleet: FleetId, worker: WorkerId) {
-        let gauge = LoadReport::default();
-        self.fleets[fleet].events.push(Event::HealthCheckEnded { worker, ok: false, report: gauge });
-    }
-
-    /// Sends a control request; without a need that tells which kept connection will do, on a new one.
+    /// Sends a control request on a pooled connection, or without a `connection_use` on a new one.
     pub(super) fn send_control(
         &mut self,
-        fleet: FleetId,
-        host: WorkerId,
-        ask: RequestKind,
-        need: Option<Need>,
+        host: HostId,
+        kind: RequestKind,
+        connection_use: Option<ConnectionUse>,
         withdraws: Option<UpstreamId>,
     ) {
         let now = clock::now();
-        let control = Some(ask.clone());
-        let up = Upstream { taken: true, ended: true, control, withdraws, ..Upstream::new(fleet, host) };
-        if self.launch(up, ask.clone(), now + CONTROL_TIMEOUT, need) {
+        let pending = PendingRequest::control(host, kind.clone(), withdraws);
+        let started = self.start_request(pending, kind.clone(), now + CONTROL_TIMEOUT, connection_use);
+        if started.is_some() {
             return;
         }
-        if matches!(ask, RequestKind::HealthCheck) {
-            self.probe_failed(fleet, host);
-        } else if matches!(ask, RequestKind::Preconnect) {
-            self.preconnected(fleet, host, false);
-        } else {
-            self.queue_withdrawal(UnsentWithdrawal { due: now + RETRY, fleet, host, ask, withdraws });
-        }
-    }
-
-    /// Sends again withdrawals that have not arrived.
-    pub(super) fn send_unsent_withdrawals(&mut self, now: Micros) {
-        while self.unsent.front().is_some_and(|u| u.due <= now) {
-            let Some(u) = self.unsent.pop_front() else { return };
-            // One that ends no attempt goes to no host that is gone; an attempt that is out may still run there.
-            let listed =
-                self.fleets[u.fleet].hosts.get(&u.host).is_some_and(|h| h.entry.state != EndpointState::Gone);
-            if u.withdraws.map_or(listed, |id| self.upstreams.get(&id).is_some_and(|a| !a.ended)) {
-                self.send_control(u.fleet, u.host, u.ask, Some(Need::Control), u.withdraws);
+        match kind {
+            RequestKind::HealthCheck => self.report_health(host, false, LoadReport::default()),
+            RequestKind::Preconnect => self.finish_preconnect(host, false),
+            RequestKind::Run(_) | RequestKind::Withdraw(_) => {
+                let due_at = now + NO_CONNECTION_RETRY;
+                self.unsent_withdrawals.push(UnsentWithdrawal { due_at, host, kind, withdraws });
             }
         }
     }
--- a/dispatcher/src/core/event_loop/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -1,190 +1,254 @@
-//! The dial queues of upstream hosts: attempts that find no kept connection, and may not dial yet, wait for a
-//! connection that becomes free or for the dial limiter. Nothing of them has been sent, so they may be cancelled at any
-//! time.
+//! The dial queues of upstream hosts: attempts that find no pooled connection and may not dial yet wait for a connection
+//! that becomes free, or for the dial limiter. Nothing of them has been sent, so they may be cancelled at any time.
 
-use super::*;
-use roselock_dial_limiter::rejected_recently;
+use super::Core;
+use super::deadlines::Deadline;
+use super::fleets::{Host, HostId};
+use super::idle_connections::connection_use;
+use super::upstream_requests::PendingRequest;
+use crate::core::pool::ConnectionUse;
+use crate::core::{FleetId, RequestKind, UpstreamId, UpstreamRequest, clock};
+use roselock::settings::fnv;
+use roselock::{LoadReport, Micros, Outcome};
+use roselock_dial_limiter::{DialLimits, rejected_recently};
+use std::collections::BTreeSet;
 
 /// Most attempts that wait for one host; one more is not sent, and the decisions place it anew.
 const MAX_QUEUED: usize = 16;
-/// How long one waits.
+/// Longest time that an attempt waits, in microseconds.
 const MAX_WAIT: Micros = 500_000;
-/// How soon a dial that finds no descriptor to spare is tried again.
-const RETRY: Micros = 20_000;
+/// A dial for which there is no file descriptor is tried again after this time, in microseconds.
+const NO_CAPACITY_RETRY: Micros = 20_000;
+/// An attempt leaves the dial queue this many ticks before its deadline: the decisions place it anew while there is time
+/// to answer that it never ran.
+const TICKS_BEFORE_DEADLINE: Micros = 4;
+
+/// The hosts whose dial queues are not empty.
+pub(super) struct DialQueues {
+    hosts: BTreeSet<HostId>,
+    /// State of the generator of jitter for the backoff after a rejection.
+    jitter_state: u64,
+}
+
+impl DialQueues {
+    pub(super) fn new(seed: u64) -> DialQueues {
+        DialQueues { hosts: BTreeSet::new(), jitter_state: seed }
+    }
+    pub(super) fn hosts(&self) -> impl Iterator<Item = HostId> + '_ {
+        self.hosts.iter().copied()
+    }
+    /// A random number from 0 to 1.
+    fn next_jitter(&mut self, now: Micros) -> f64 {
+        self.jitter_state = fnv(&(self.jitter_state ^ now as u64).to_le_bytes());
+        (self.jitter_state >> 11) as f64 / (1_u64 << 53) as f64
+    }
+}
 
 impl Core {
     /// Limits new connections to a fleet's hosts.
-    pub fn set_dial_limits(&mut self, f: FleetId, limits: DialLimits) {
-        self.fleets[f].dial_limits = Some(limits);
+    pub fn set_dial_limits(&mut self, fleet: FleetId, limits: DialLimits) {
+        self.fleets[fleet].dial_limits = Some(limits);
     }
 
     /// When a host with a dial queue may be dialled next; never while a connection is opened ahead.
-    pub(super) fn next_dial_at(&self, (f, worker): (FleetId, WorkerId)) -> Option<Micros> {
-        let (fleet, now) = (&self.fleets[f], clock::now());
-        let host = fleet.hosts.get(&worker).filter(|h| !h.preconnecting && !h.dial_queue.is_empty())?;
-        let next = host.dial_limiter.next_dial_at(fleet.dial_limits?, now);
-        // Without a descriptor to spare it is tried again with the next input, or after a while.
-        Some(if fleet.dialer.as_ref().is_some_and(|d| d.has_capacity(&host.dial_queue[0].ask)) {
-            next
+    pub(super) fn next_dial_at(&self, id: HostId) -> Option<Micros> {
+        let fleet = &self.fleets[id.fleet];
+        let now = clock::now();
+        let host = fleet.hosts.get(&id.worker).filter(|host| !host.preconnecting)?;
+        let first = host.dial_queue.front()?;
+        let limits = fleet.dial_limits?;
+        if fleet.has_dial_capacity(&first.ask) {
+            Some(host.dial_limiter.next_dial_at(limits, now))
         } else {
-            now + RETRY
-        })
+            // Tried again with the next input, or after a while.
+            Some(now + NO_CAPACITY_RETRY)
+        }
     }
 
-    /// Puts an attempt into the dial queue of its host; false if that is full.
-    pub(super) fn join_dial_queue(&mut self, up: Upstream, request: UpstreamRequest) -> bool {
-        let fleet = &mut self.fleets[up.fleet];
-        let Some(host) = fleet.hosts.get_mut(&up.host).filter(|h| h.dial_queue.len() < MAX_QUEUED) else {
-            return false;
-        };
-        // The decisions place it anew while there is time to answer that it never ran.
-        let leaves_at = (clock::now() + MAX_WAIT).min(request.deadline - 4 * fleet.set.tick);
-        self.due.push(Reverse((leaves_at, Due::DialQueue(request.id))));
+    /// Puts an attempt into the dial queue of its host; none if that is full.
+    pub(super) fn join_dial_queue(
+        &mut self,
+        pending: PendingRequest,
+        request: UpstreamRequest,
+    ) -> Option<UpstreamId> {
+        let host_id = pending.host;
+        let fleet = &mut self.fleets[host_id.fleet];
+        let host = fleet.hosts.get_mut(&host_id.worker)?;
+        if host.dial_queue.len() >= MAX_QUEUED {
+            return None;
+        }
+        let latest = request.deadline - TICKS_BEFORE_DEADLINE * fleet.settings.tick;
+        let leaves_at = (clock::now() + MAX_WAIT).min(latest);
+        self.deadlines.add(leaves_at, Deadline::DialQueue(request.id));
         host.dial_queue.push_back(request);
-        self.dial_queues.insert((up.fleet, up.host));
-        self.upstreams.insert(self.next_upstream, Upstream { waits: true, ..up });
-        self.next_upstream += 1;
-        true
+        self.dial_queues.hosts.insert(host_id);
+        Some(self.upstreams.insert(PendingRequest { in_dial_queue: true, ..pending }))
     }
 
-    /// Takes an attempt out of its dial queue: it never ran.
+    /// Takes an attempt out of its dial queue, if it is in one: it never ran.
     pub(super) fn leave_dial_queue(&mut self, id: UpstreamId) {
-        let Some(up) = self.upstreams.get_mut(&id).filter(|u| u.waits) else { return };
-        let (f, worker) = (up.fleet, up.host);
-        up.waits = false;
-        self.fleets[f].hosts.get_mut(&worker).iter_mut().for_each(|h| h.dial_queue.retain(|r| r.id != id));
-        self.end(id, Outcome::NotStarted, LoadReport::default(), Vec::new());
-        self.drop_upstream(id);
+        let Some(pending) = self.upstreams.get_mut(id) else { return };
+        if !pending.in_dial_queue {
+            return;
+        }
+        pending.in_dial_queue = false;
+        if let Some(host) = self.fleets.host_mut(pending.host) {
+            host.dial_queue.retain(|request| request.id != id);
+        }
+        self.end_attempt_without_report(id, Outcome::NotStarted);
+        self.upstreams.remove_if_done(id);
     }
 
-    /// Empties the dial queues of such hosts.
-    pub(super) fn clear_dial_queues(&mut self, of: impl Fn(&Host) -> bool) {
-        let hosts =
-            self.dial_queues.iter().filter_map(|(f, w)| self.fleets[*f].hosts.get(w)).filter(|h| of(h));
-        let ids: Vec<UpstreamId> = hosts.flat_map(|h| h.dial_queue.iter().map(|r| r.id)).collect();
-        ids.into_iter().for_each(|id| self.leave_dial_queue(id));
+    /// Empties the dial queues of the hosts for which the condition holds.
+    pub(super) fn clear_dial_queues(&mut self, condition: impl Fn(&Host) -> bool) {
+        let mut ids = Vec::new();
+        for host in self.dial_queues.hosts().filter_map(|id| self.fleets.host(id)) {
+            if condition(host) {
+                ids.extend(host.dial_queue.iter().map(|request| request.id));
+            }
+        }
+        for id in ids {
+            self.leave_dial_queue(id);
+        }
     }
 
-    /// Puts the first attempts of a dial queue on the connections that are kept to its host.
-    pub(super) fn assign_idle_connections(&mut self, f: FleetId, worker: WorkerId) {
+    /// Puts the first attempts of a dial queue on pooled connections to its host.
+    pub(super) fn assign_idle_connections(&mut self, host_id: HostId) {
         let now = clock::now();
-        loop {
-            let fleet = &mut self.fleets[f];
-            let Some(host) = fleet.hosts.get_mut(&worker).filter(|h| !h.dial_queue.is_empty()) else {
-                return;
-            };
-            let need = need(&fleet.set, host.dial_queue[0].class);
-            let Some((since, link)) = host.pool.take(now, fleet.trust.since(now, need), need) else { return };
+        while let Some(first) = self.fleets.host(host_id).and_then(|host| host.dial_queue.front()) {
+            let connection_use = connection_use(&self.fleets[host_id.fleet].settings, first.class);
+            let Some(idle) = self.take_idle_connection(host_id, now, connection_use) else { return };
+            let Some(host) = self.fleets.host_mut(host_id) else { return };
             let Some(request) = host.dial_queue.pop_front() else { return };
             let id = request.id;
-            let started = link.start(request.clone());
-            if !started {
+            if !idle.connection.start(request.clone()) {
                 host.dial_queue.push_front(request);
-            } else if let Some(up) = self.upstreams.get_mut(&id) {
-                (up.link, up.idle, up.waits) = (Some(link), Some(now - since), false);
+            } else if let Some(pending) = self.upstreams.get_mut(id) {
+                pending.connection = Some(idle.connection);
+                pending.reused_idle = Some(now - idle.idle_since);
+                pending.in_dial_queue = false;
             }
         }
     }
 
     /// Dials for the attempts that wait, where the dial limiters allow it.
     pub(super) fn serve_dial_queues(&mut self, now: Micros) {
-        let queues: Vec<_> = self.dial_queues.iter().copied().collect();
-        for (f, worker) in queues {
+        let hosts: Vec<HostId> = self.dial_queues.hosts().collect();
+        for host_id in hosts {
             for _ in 0..MAX_QUEUED {
-                if self.next_dial_at((f, worker)).is_none_or(|at| at > now) {
+                if self.next_dial_at(host_id).is_none_or(|at| at > now) {
                     break;
                 }
-                self.dial_next(f, worker, now);
+                self.dial_for_first(host_id, now);
             }
-            if self.fleets[f].hosts.get(&worker).is_none_or(|h| h.dial_queue.is_empty()) {
-                self.dial_queues.remove(&(f, worker));
+            if self.fleets.host(host_id).is_none_or(|host| host.dial_queue.is_empty()) {
+                self.dial_queues.hosts.remove(&host_id);
             }
         }
     }
 
-    /// Dials for the first attempt in a dial queue. For what must not run twice a connection is opened ahead, if some
+    /// Dials for the first attempt in a dial queue. For one that must not run twice a connection is opened ahead, if some
     /// were rejected recently.
-    fn dial_next(&mut self, f: FleetId, worker: WorkerId, now: Micros) {
-        let fleet = &mut self.fleets[f];
-        let connect_by = now + fleet.set.limits.connect_timeout;
-        let parts = (fleet.hosts.get_mut(&worker), &fleet.dialer, fleet.dial_limits);
-        let (Some(host), Some(dialer), Some(limits)) = parts else { return };
-        let (Some(endpoint), Some(first)) = (host.endpoint, host.dial_queue.front()) else { return };
+    fn dial_for_first(&mut self, host_id: HostId, now: Micros) {
+        let fleet = &mut self.fleets[host_id.fleet];
+        let connect_by = now + fleet.settings.limits.connect_timeout;
+        let Some(host) = fleet.hosts.get_mut(&host_id.worker) else { return };
+        let Some(dialer) = &fleet.dialer else { return };
+        let Some(limits) = fleet.dial_limits else { return };
+        let Some(address) = host.address else { return };
+        let Some(first) = host.dial_queue.front() else { return };
         host.dial_limiter.record_dial(limits, now);
-        if rejected_recently(fleet.closed, now) && need(&fleet.set, first.class) == Need::Once {
+        let must_not_run_twice = connection_use(&fleet.settings, first.class) == ConnectionUse::Once;
+        if must_not_run_twice && rejected_recently(fleet.last_rejection, now) {
             host.preconnecting = true;
-            return self.send_control(f, worker, RequestKind::Preconnect, None, None);
+            return self.send_control(host_id, RequestKind::Preconnect, None, None);
         }
-        let Some(mut request) = host.dial_queue.pop_front() else { return };
-        request.connect_by = connect_by;
+        let Some(request) = host.dial_queue.pop_front() else { return };
         let id = request.id;
-        let link = dialer.dial(endpoint, request);
-        if let Some(up) = self.upstreams.get_mut(&id) {
-            (up.link, up.waits) = (Some(link), false);
+        let connection = dialer.dial(address, UpstreamRequest { connect_by, ..request });
+        if let Some(pending) = self.upstreams.get_mut(id) {
+            pending.connection = Some(connection);
+            pending.in_dial_queue = false;
         }
     }
 
-    /// A connection that was opened ahead is up or was rejected; or it was `refused`: then the attempt that it was for
-    /// ends as if it had dialled.
-    pub(super) fn preconnected(&mut self, f: FleetId, worker: WorkerId, refused: bool) {
-        let Some(host) = self.fleets[f].hosts.get_mut(&worker) else { return };
+    /// A connection that was opened ahead is up or was rejected; or connecting failed, and then the attempt that it was
+    /// for ends as if it had dialled.
+    pub(super) fn finish_preconnect(&mut self, host_id: HostId, connect_failed: bool) {
+        let Some(host) = self.fleets.host_mut(host_id) else { return };
         host.preconnecting = false;
-        let first = if refused { host.dial_queue.pop_front() } else { None };
-        let Some(request) = first else { return };
-        self.upstreams.entry(request.id).and_modify(|u| u.waits = false);
-        self.end(request.id, Outcome::ConnectFailed, LoadReport::default(), Vec::new());
-        self.drop_upstream(request.id);
+        if !connect_failed {
+            return;
+        }
+        let Some(request) = host.dial_queue.pop_front() else { return };
+        if let Some(pending) = self.upstreams.get_mut(request.id) {
+            pending.in_dial_queue = false;
+        }
+        self.end_attempt_without_report(request.id, Outcome::ConnectFailed);
+        self.upstreams.remove_if_done(request.id);
     }
 
-    /// A host has rejected a new connection: it lives, and has none to spare. What was not written waits on.
-    pub(super) fn connection_rejected(&mut self, id: UpstreamId, written: bool) {
-        self.drawn = roselock::settings::fnv(&(self.drawn ^ clock::now() as u64).to_le_bytes());
-        let jitter = (self.drawn >> 11) as f64 / (1_u64 << 53) as f64;
-        let Some(up) = self.upstreams.get_mut(&id) else { return };
-        let (f, worker, stream) = (up.fleet, up.host, up.stream);
-        let limited = self.fleets[f].dial_limits.is_some();
-        self.fleets[f].closed = Some(clock::now());
-        let Some(host) = self.fleets[f].hosts.get_mut(&worker) else { return };
+    /// A host has rejected a new connection: it is alive and has no capacity for another one. An attempt of which nothing
+    /// was written waits again.
+    pub(super) fn handle_connection_rejected(&mut self, id: UpstreamId, request_written: bool) {
+        let jitter = self.dial_queues.next_jitter(clock::now());
+        let Some(pending) = self.upstreams.get_mut(id) else { return };
+        let host_id = pending.host;
+        let fleet = &mut self.fleets[host_id.fleet];
+        fleet.last_rejection = Some(clock::now());
+        let Some(host) = fleet.hosts.get_mut(&host_id.worker) else { return };
         host.dial_limiter.record_rejected(clock::now(), jitter);
-        if let Some(ask) = up.control.take() {
-            if matches!(ask, RequestKind::HealthCheck) {
-                self.probe_failed(f, worker);
+        if let Some(kind) = pending.control.take() {
+            if matches!(kind, RequestKind::HealthCheck) {
+                self.report_health(host_id, false, LoadReport::default());
             }
             return;
         }
-        if up.ended {
+        if pending.concluded {
             return;
         }
-        let waits = limited && !written && !up.quit && host.entry.state == EndpointState::Ready;
-        let waiting =
-            self.streams.get(&stream).filter(|s| waits && !s.answered && host.dial_queue.len() < MAX_QUEUED);
-        let Some(stream) = waiting else {
-            let outcome = match (written, limited) {
-                (true, true) => Outcome::Cancelled,
-                (true, false) => Outcome::Reset,
-                (false, true) => Outcome::NotStarted,
-                (false, false) => Outcome::ConnectFailed,
-            };
-            if outcome == Outcome::Reset {
-                self.unsettled(id);
-            }
-            return self.end(id, outcome, LoadReport::default(), Vec::new());
-        };
-        let (ask, class) = (RequestKind::Run(stream.payload.clone()), Some(stream.class.0 as usize));
-        up.waits = true;
-        self.due.push(Reverse((clock::now() + MAX_WAIT, Due::DialQueue(id))));
-        let (begin_by, deadline) = (stream.begin_by, stream.deadline);
-        host.dial_queue.push_front(UpstreamRequest { id, ask, connect_by: 0, begin_by, deadline, class });
-        self.dial_queues.insert((f, worker));
+        let is_limited = fleet.dial_limits.is_some();
+        let may_wait = is_limited && !request_written && !pending.withdrawal_requested && host.is_ready();
+        if !may_wait || !self.rejoin_dial_queue(id) {
+            self.end_rejected_attempt(id, request_written, is_limited);
+        }
+    }
+
+    /// Puts an attempt whose connection was rejected at the head of the dial queue of its host; false if that is full or
+    /// its stream needs no answer any more.
+    fn rejoin_dial_queue(&mut self, id: UpstreamId) -> bool {
+        let Some(pending) = self.upstreams.get_mut(id) else { return false };
+        let Some(stream) = self.streams.get_unanswered(pending.stream) else { return false };
+        let Some(host) = self.fleets.host_mut(pending.host) else { return false };
+        if host.dial_queue.len() >= MAX_QUEUED {
+            return false;
+        }
+        pending.in_dial_queue = true;
+        self.deadlines.add(clock::now() + MAX_WAIT, Deadline::DialQueue(id));
+        host.dial_queue.push_front(UpstreamRequest {
+            id,
+            ask: RequestKind::Run(stream.payload.clone()),
+            // Set when it dials.
+            connect_by: 0,
+            begin_by: stream.begin_by,
+            deadline: stream.deadline,
+            class: Some(stream.class.0 as usize),
+        });
+        self.dial_queues.hosts.insert(pending.host);
+        true
     }
-}
 
-/// What a connection is wanted for.
-pub(super) fn need(set: &Settings, class: Option<usize>) -> Need {
-    match class.map(|c| set.classes[c].idempotency) {
-        Some(Idempotency::Idempotent) => Need::Repeatable,
-        Some(_) => Need::Once,
-        None => Need::Control,
+    fn end_rejected_attempt(&mut self, id: UpstreamId, request_written: bool, is_limited: bool) {
+        let outcome = match (request_written, is_limited) {
+            (true, true) => Outcome::Cancelled,
+            (true, false) => Outcome::Reset,
+            (false, true) => Outcome::NotStarted,
+            (false, false) => Outcome::ConnectFailed,
+        };
+        if outcome == Outcome::Reset {
+            self.mark_late_report_possible(id);
+        }
+        self.end_attempt_without_report(id, outcome);
     }
 }
 
--- /dev/null
+++ b/dispatcher/src/core/event_loop/endpoint_list.rs
@@ -0,0 +1,139 @@
+//! The endpoint list: applied to the hosts of a fleet, its age, and the readiness of the process.
+
+use super::Core;
+use super::fleets::{Fleet, Host};
+use crate::core::{ConnectionState, FleetId, ListedHost, UpstreamEvent, clock};
+use roselock::{EndpointState, Event, ListMode, LoadReport, Micros, Outcome};
+use roselock_discovery_client::startup_stage::StartupProgress;
+
+/// Most hosts that are remembered after they are gone.
+const MAX_GONE_HOSTS: usize = 1024;
+
+/// How far the endpoint lists of all fleets can be relied on.
+pub(super) struct ListStatus {
+    /// The lists of all fleets were valid at the same time at least once.
+    was_valid: bool,
+    /// How far the start has come.
+    pub(super) startup: StartupProgress,
+}
+
+impl ListStatus {
+    /// At the start, with a cached list or without one.
+    pub(super) fn new(now: Micros, has_cached_list: bool) -> ListStatus {
+        ListStatus { was_valid: false, startup: StartupProgress::new(now, has_cached_list) }
+    }
+}
+
+impl Core {
+    /// Applies the endpoint list of a fleet, or changes of it.
+    pub(super) fn apply_list(&mut self, fleet: FleetId, mode: ListMode, hosts: Vec<ListedHost>) {
+        self.admin.suspensions.note_listed(hosts.iter().map(|listed| listed.uid.as_str()));
+        for listed in &hosts {
+            if listed.endpoint.state == EndpointState::Gone && listed.address.is_none() {
+                self.end_unaccepted_attempts(fleet, listed);
+            }
+        }
+        self.fleets[fleet].apply_list(mode, hosts);
+        self.clear_dial_queues(|host| !host.is_ready());
+        self.cancel_unsent_at(fleet, |host| !host.is_ready());
+        self.update_readiness();
+    }
+
+    /// Ends the attempts that a host which had connected to us did not accept before it left: they have not run.
+    fn end_unaccepted_attempts(&mut self, fleet: FleetId, left: &ListedHost) {
+        let ids = self.upstreams.unaccepted_attempts(|request| {
+            request.host.fleet == fleet && request.host.worker == left.endpoint.worker
+        });
+        for id in ids {
+            let event = UpstreamEvent::Ended {
+                outcome: Outcome::ConnectFailed,
+                report: LoadReport::default(),
+                body: Vec::new(),
+            };
+            self.handle_upstream_event(id, event, ConnectionState::Closed);
+        }
+    }
+
+    /// The process is ready once some host takes work and the list was valid once. From then on a list that has expired
+    /// does not make the process unready: all dispatchers would be so at the same time.
+    fn update_readiness(&mut self) {
+        let mut listed = self.fleets.iter().filter(|fleet| fleet.dialer.is_some());
+        self.list_status.was_valid |= listed.all(|fleet| fleet.dispatcher.list_is_valid());
+        let has_ready_host = self.fleets.iter().any(|fleet| fleet.hosts.values().any(Host::is_ready));
+        self.inbox.set_has_ready_host(has_ready_host && self.list_status.was_valid);
+    }
+
+    /// Logs when the list of a fleet expires, and when it is valid again.
+    pub(super) fn check_list_validity(&mut self, fleet: FleetId) {
+        let fleet = &mut self.fleets[fleet];
+        let is_valid = fleet.dispatcher.list_is_valid();
+        if fleet.list_is_valid == is_valid {
+            return;
+        }
+        fleet.list_is_valid = is_valid;
+        if !self.list_status.was_valid {
+            self.update_readiness();
+        } else if is_valid {
+            tracing::info!("endpoint list synchronized");
+        } else {
+            tracing::warn!("endpoint list expired, sending nothing new until discovery answers");
+        }
+    }
+
+    /// Notes that discovery has confirmed the list of a fleet that it serves.
+    pub(super) fn record_list_confirmation(&mut self, fleet: FleetId) {
+        if self.fleets[fleet].dialer.is_none() {
+            return;
+        }
+        let startup = &mut self.list_status.startup;
+        let confirmed_after = startup.record_list(clock::now());
+        if let Some(after) = confirmed_after {
+            let after_s = (after as f64 / 1e5).round() / 10.0;
+            let calls = startup.calls;
+            let failed_calls = startup.failed_calls;
+            tracing::info!(after_s, calls, failed_calls, "endpoint list confirmed");
+        }
+        self.admin.metrics.start(startup, confirmed_after);
+    }
+
+    /// Notes that a watch on the endpoint list is being opened, or the list polled.
+    pub(super) fn record_watch_start(&mut self) {
+        self.list_status.startup.record_call();
+        self.admin.metrics.start(&self.list_status.startup, None);
+    }
+
+    /// Notes that a watch on the endpoint list has ended, or could not be opened.
+    pub(super) fn record_watch_end(&mut self) {
+        self.list_status.startup.record_watch_end();
+        self.admin.metrics.start(&self.list_status.startup, None);
+    }
+}
+
+impl Fleet {
+    /// Applies the endpoint list to the hosts, and passes it to the decisions.
+    fn apply_list(&mut self, mode: ListMode, hosts: Vec<ListedHost>) {
+        if mode.is_complete() {
+            self.mark_unlisted_hosts_gone(&hosts);
+        }
+        let mut endpoints = Vec::with_capacity(hosts.len());
+        for listed in hosts {
+            endpoints.push(listed.endpoint.clone());
+            let host = self.hosts.entry(listed.endpoint.worker).or_insert_with(|| Host::new(&listed));
+            host.update(listed);
+        }
+        let gone = self.hosts.values().filter(|host| host.is_gone()).count();
+        if gone > MAX_GONE_HOSTS {
+            self.hosts.retain(|_, host| !host.is_gone());
+        }
+        self.events.push(Event::EndpointList { mode, endpoints });
+    }
+
+    fn mark_unlisted_hosts_gone(&mut self, listed: &[ListedHost]) {
+        for (worker, host) in &mut self.hosts {
+            if !listed.iter().any(|entry| entry.endpoint.worker == *worker) {
+                host.entry.state = EndpointState::Gone;
+                host.pool.clear();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/dispatcher/src/core/event_loop/inputs.rs
@@ -0,0 +1,75 @@
+//! The inputs of the owner thread.
+
+use super::Core;
+use super::fleets::HostId;
+use crate::core::{CallbackEvent, Input};
+use roselock::{Event, LoadReport};
+
+impl Core {
+    /// Handles one input.
+    pub fn handle(&mut self, input: Input) {
+        match input {
+            Input::StreamArrived(new) => {
+                self.inbox.accepted();
+                self.admit_stream(*new);
+            }
+            Input::ClientDisconnected(id) => self.disconnect_client(id),
+            Input::Upstream { id, event, connection } => self.handle_upstream_event(id, event, connection),
+            Input::Callback { id, from, event, report, body } => {
+                self.handle_or_forward_callback(&id, &from, event, report, body);
+            }
+            Input::Hosts { fleet, mode, hosts } => {
+                self.record_list_confirmation(fleet);
+                self.apply_list(fleet, mode, hosts);
+            }
+            Input::Capacity { fleet, worker, free_slots } => {
+                let report = LoadReport { free_slots: Some(free_slots), ..LoadReport::default() };
+                self.report_health(HostId { fleet, worker }, true, report);
+            }
+            Input::FleetAdded { fleet, settings, seed } => {
+                assert_eq!(fleet, self.fleets.len(), "fleets are added in the order of their numbers");
+                self.add_fleet(*settings, seed, None).expect("the sender has checked the settings");
+            }
+            Input::WatchEnded { fleet, end } => {
+                self.record_watch_end();
+                self.fleets[fleet].events.push(Event::WatchEnded(end));
+            }
+            Input::DiscoveryMoved { fleet, at } => self.fleets[fleet].events.push(Event::DiscoveryMoved(at)),
+            Input::SettingsChanged { fleet, settings } => self.fleets[fleet].update_settings(*settings),
+            Input::DialLimitsChanged { fleet, limits } => {
+                // Whether there are limits at all is decided at the start.
+                if let Some(current) = &mut self.fleets[fleet].dial_limits {
+                    *current = limits;
+                }
+            }
+            // Both only wake the owner: job sources are polled, and the shutdown is known from the inbox.
+            Input::Feed | Input::ShutdownRequested => {}
+        }
+    }
+
+    /// Handles a callback of a stream that is here; forwards another one to the other process of an upgrade, if there is
+    /// one that may have the stream.
+    fn handle_or_forward_callback(
+        &mut self,
+        job_id: &str,
+        from: &str,
+        event: CallbackEvent,
+        report: LoadReport,
+        body: Option<Vec<u8>>,
+    ) {
+        let is_here = self.streams.contains_job_id(job_id);
+        if !is_here
+            && let Some(relay) = &self.relay
+            && let Some(body) = body
+        {
+            return relay.forward(body);
+        }
+        self.handle_callback(job_id, from, event, report);
+    }
+
+    /// Passes a health check's result, or an equivalent report, to the decisions.
+    pub(super) fn report_health(&mut self, host: HostId, ok: bool, report: LoadReport) {
+        let event = Event::HealthCheckEnded { worker: host.worker, ok, report };
+        self.fleets[host.fleet].events.push(event);
+    }
+}
--- /dev/null
+++ b/dispatcher/src/core/event_loop/stream_table.rs
@@ -0,0 +1,135 @@
+//! The streams that have not ended, by number and by job id.
+
+use super::recent_job_ids::RecentJobIds;
+use crate::core::{Answer, Downstream, FleetId, NewStream, Payload, StreamId, UpstreamId, clock};
+use roselock::{ClassId, Micros, Outcome};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// A repeated attempt is sent no later than this before the end of its window, in microseconds: it takes that long to
+/// reach the host.
+const REPEAT_WINDOW_MARGIN: Micros = 10_000;
+
+/// A stream.
+pub(super) struct Stream {
+    pub(super) fleet: FleetId,
+    pub(super) class: ClassId,
+    pub(super) arrived_at: Micros,
+    pub(super) peer: SocketAddr,
+    pub(super) payload: Arc<Payload>,
+    pub(super) deadline: Micros,
+    pub(super) downstream: Box<dyn Downstream>,
+    /// Its final answer is given, or its client has disconnected.
+    pub(super) answered: bool,
+    /// Attempts that the decisions have made, those that could not be sent included.
+    pub(super) attempts: u32,
+    /// The attempt in flight.
+    pub(super) in_flight: Option<UpstreamId>,
+    /// The window in which an attempt may be repeated, if its class has one, by the settings at its arrival.
+    pub(super) repeat_window: Option<Micros>,
+    /// From this time on it may not begin again: the end of the window of the first attempt that may have run.
+    pub(super) begin_by: Micros,
+    /// Attempts that may have run, with those before it arrived.
+    pub(super) attempts_run: u32,
+    /// Its latest attempt timed out.
+    pub(super) last_timed_out: bool,
+    /// The address of the host to which it was sent last.
+    pub(super) last_upstream: Option<SocketAddr>,
+}
+
+impl Stream {
+    pub(super) fn new(new: NewStream, arrived_at: Micros, repeat_window: Option<Micros>) -> Stream {
+        Stream {
+            fleet: new.fleet,
+            class: new.class,
+            arrived_at,
+            peer: new.peer,
+            payload: new.payload,
+            deadline: new.deadline,
+            downstream: new.downstream,
+            answered: false,
+            attempts: 0,
+            in_flight: None,
+            repeat_window,
+            begin_by: Micros::MAX,
+            attempts_run: new.prior_attempts,
+            last_timed_out: false,
+            last_upstream: None,
+        }
+    }
+    /// Notes that the attempt in flight has ended.
+    pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
+        self.in_flight = None;
+        self.downstream.running(false);
+        self.last_timed_out = outcome == Outcome::Timeout;
+    }
+    /// Notes that an attempt that was sent at this time may have run.
+    pub(super) fn attempt_may_have_run(&mut self, sent_at: Micros) {
+        self.attempts_run += 1;
+        if let Some(window) = self.repeat_window {
+            self.begin_by = self.begin_by.min(sent_at + window - REPEAT_WINDOW_MARGIN);
+        }
+    }
+}
+
+/// The client's side of a stream whose client has disconnected.
+pub(super) struct DisconnectedClient;
+
+impl Downstream for DisconnectedClient {
+    fn answer(&self, _: Answer, _: u32) {}
+}
+
+/// The streams that have not ended: those that are owed an answer or have an attempt in flight.
+#[derive(Default)]
+pub(super) struct StreamTable {
+    pub(super) by_id: HashMap<StreamId, Stream>,
+    by_job_id: HashMap<String, StreamId>,
+    recent: RecentJobIds,
+}
+
+impl StreamTable {
+    pub(super) fn insert(&mut self, id: StreamId, job_id: String, stream: Stream) {
+        self.by_job_id.insert(job_id, id);
+        self.by_id.insert(id, stream);
+    }
+    pub(super) fn get(&self, id: StreamId) -> Option<&Stream> {
+        self.by_id.get(&id)
+    }
+    pub(super) fn get_mut(&mut self, id: StreamId) -> Option<&mut Stream> {
+        self.by_id.get_mut(&id)
+    }
+    pub(super) fn get_unanswered(&self, id: StreamId) -> Option<&Stream> {
+        self.by_id.get(&id).filter(|stream| !stream.answered)
+    }
+    pub(super) fn get_unanswered_mut(&mut self, id: StreamId) -> Option<&mut Stream> {
+        self.by_id.get_mut(&id).filter(|stream| !stream.answered)
+    }
+    pub(super) fn with_job_id(&self, job_id: &str) -> Option<&Stream> {
+        self.by_job_id.get(job_id).and_then(|id| self.by_id.get(id))
+    }
+    pub(super) fn contains_job_id(&self, job_id: &str) -> bool {
+        self.by_job_id.contains_key(job_id)
+    }
+    /// Whether a stream has this job id or had it recently. Two at a time could not be told apart by the callbacks of the
+    /// hosts, and an id is new with every request: one that was sent to a host before would take effect again.
+    pub(super) fn is_duplicate(&mut self, job_id: &str, now: Micros) -> bool {
+        self.contains_job_id(job_id) || self.recent.contains(job_id, now)
+    }
+    pub(super) fn all_answered(&self) -> bool {
+        self.by_id.values().all(|stream| stream.answered)
+    }
+    /// Removes a stream that is owed no answer and has no attempt in flight.
+    pub(super) fn remove_if_ended(&mut self, id: StreamId) {
+        let Some(stream) = self.by_id.get(&id) else { return };
+        if !stream.answered || stream.in_flight.is_some() {
+            return;
+        }
+        let job_id = stream.payload.id();
+        self.by_job_id.remove(job_id);
+        if stream.attempts > 0 {
+            self.recent.insert(job_id, clock::now());
+        }
+        self.by_id.remove(&id);
+    }
+}
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -1,131 +1,143 @@
-//! Streams: taken on, answered once, recorded, forgotten.
+//! Streams: admitted, answered once, recorded.
 
-use super::*;
+use super::Core;
+use super::admin_state::job_result;
+use super::deadlines::Deadline;
+use super::stream_table::{DisconnectedClient, Stream};
+use crate::core::{Answer, FleetId, Flow, NewStream, StreamId, StreamOutcome, clock};
+use roselock::{ClassId, Event, Idempotency, JobId, JobRequest, Micros};
+
+/// A stream that the decisions have not answered is answered here this long after its deadline, in microseconds.
+const ANSWER_GRACE: Micros = 5_000;
 
 impl Core {
-    pub(super) fn arrive(&mut self, mut new: NewStream) {
+    /// Admits a stream, or answers it at once.
+    pub(super) fn admit_stream(&mut self, mut new: NewStream) {
         let now = clock::now();
         let shutdown = self.inbox.shutdown_deadlines();
         if let Some(deadline) = shutdown.and_then(|deadlines| deadlines.arrival_deadline(now)) {
             new.deadline = new.deadline.min(deadline);
             if new.deadline <= now {
-                return self.refuse(new, Answer::Rejected(roselock::SECOND));
+                return self.reject(new, Answer::Rejected(roselock::SECOND));
             }
         }
-        // A feed may be ahead of the news of a fleet, which then waits in the queue: it was posted first.
-        while new.fleet >= self.fleets.len() {
-            let Ok(input) = self.outlet.recv() else { return };
-            self.handle(input);
+        if !self.receive_fleet(new.fleet) {
+            return;
         }
-        self.arrived = now;
-        let call = new.payload.id().to_owned();
-        // Two live streams of one id could not be told apart by the hosts' call-backs.
-        // An id is new with every request: one that went to a host before would have its effect again.
-        if self.calls.contains_key(&call) || self.used.contains(&call, now) {
-            return self.refuse(new, Answer::Conflict);
+        self.last_arrival_at = now;
+        let job_id = new.payload.id().to_owned();
+        if self.streams.is_duplicate(&job_id, now) {
+            return self.reject(new, Answer::Conflict);
         }
         if new.deadline <= now {
-            return self.refuse(new, Answer::Failed);
+            return self.reject(new, Answer::Failed);
         }
         self.admin.metrics.job_admitted();
-        self.fleets[new.fleet].events.push(Event::JobArrived(JobRequest {
-            job: JobId(new.id),
-            class: new.class,
-            tenant: new.tenant,
-            slots: new.slots,
-            memory: new.memory,
-            work_hint: new.hint,
-            key: new.key,
-            budget: new.deadline - now,
-        }));
-        self.due.push(Reverse((new.deadline + BACKSTOP, Due::Stream(new.id))));
-        self.calls.insert(call, new.id);
-        let stream = Stream {
-            fleet: new.fleet,
-            class: new.class,
-            came: now,
-            peer: new.peer,
-            payload: new.payload,
-            deadline: new.deadline,
-            downstream: new.downstream,
-            answered: false,
-            rounds: 0,
-            out: None,
-            window: match self.fleets[new.fleet].set.classes[new.class.0 as usize].idempotency {
-                Idempotency::IdempotencyKey { window, .. } => Some(window),
-                _ => None,
-            },
-            begin_by: Micros::MAX,
-            ran: new.prior_attempts,
-            timed_out: false,
-            host: None,
-        };
-        self.streams.insert(new.id, stream);
+        self.fleets[new.fleet].events.push(Event::JobArrived(job_request(&new, now)));
+        self.deadlines.add(new.deadline + ANSWER_GRACE, Deadline::Stream(new.id));
+        let repeat_window = self.repeat_window(new.fleet, new.class);
+        self.streams.insert(new.id, job_id, Stream::new(new, now, repeat_window));
     }
 
-    /// Answers a stream that is not taken on.
-    pub(super) fn refuse(&self, new: NewStream, answer: Answer) {
-        self.admin.metrics.job_ended(new.class.0 as usize, administration::end(&answer), false);
-        new.downstream.answer(answer, new.prior_attempts);
+    /// Handles inputs until the fleet has been added: a job source may be ahead of the message that adds it, which was
+    /// posted before the job was released. False if the queue has closed.
+    fn receive_fleet(&mut self, fleet: FleetId) -> bool {
+        while fleet >= self.fleets.len() {
+            let Ok(input) = self.inputs.recv() else { return false };
+            self.handle(input);
+        }
+        true
     }
 
-    /// Drops a stream for which nothing is owed and nothing is out.
-    pub(super) fn forget(&mut self, id: StreamId) {
-        if let Some(stream) = self.streams.get(&id).filter(|s| s.answered && s.out.is_none()) {
-            self.calls.remove(stream.payload.id());
-            if stream.rounds > 0 {
-                self.used.insert(stream.payload.id(), clock::now());
-            }
-            self.streams.remove(&id);
+    fn repeat_window(&self, fleet: FleetId, class: ClassId) -> Option<Micros> {
+        let class = &self.fleets[fleet].settings.classes[class.0 as usize];
+        match class.idempotency {
+            Idempotency::IdempotencyKey { window, .. } => Some(window),
+            _ => None,
         }
     }
 
-    /// The final answer, once.
+    /// Answers a stream that is not admitted.
+    fn reject(&self, new: NewStream, answer: Answer) {
+        self.admin.metrics.job_ended(new.class.0 as usize, job_result(&answer), false);
+        new.downstream.answer(answer, new.prior_attempts);
+    }
+
+    /// Gives the final answer, once.
     pub(super) fn answer(&mut self, id: StreamId, answer: Answer) {
-        let Some(stream) = self.streams.get_mut(&id).filter(|s| !s.answered) else { return };
+        let Some(stream) = self.streams.get_unanswered_mut(id) else { return };
         stream.answered = true;
-        // One that is out may run, too.
-        let ran = stream.ran + stream.out.is_some() as u32;
+        // One that is in flight may run, too.
+        let attempts_run = stream.attempts_run + u32::from(stream.in_flight.is_some());
         let answer = match answer {
-            Answer::Failed if stream.timed_out => Answer::TimedOut,
+            Answer::Failed if stream.last_timed_out => Answer::TimedOut,
             answer => answer,
         };
-        let (finish, sent) = match &answer {
+        let (outcome, bytes_sent) = match &answer {
             Answer::Served(body) => (StreamOutcome::Served, body.len()),
             Answer::Rejected(_) => (StreamOutcome::Rejected, 0),
             Answer::Failed | Answer::Conflict => (StreamOutcome::Failed, 0),
             Answer::TimedOut => (StreamOutcome::TimedOut, 0),
         };
-        self.admin.metrics.job_ended(stream.class.0 as usize, administration::end(&answer), true);
-        stream.downstream.answer(answer, ran);
-        self.record(id, finish, sent);
-        self.hold_back(id);
-        self.forget(id);
+        self.admin.metrics.job_ended(stream.class.0 as usize, job_result(&answer), true);
+        stream.downstream.answer(answer, attempts_run);
+        self.record(id, outcome, bytes_sent);
+        self.cancel_unsent(id);
+        self.streams.remove_if_ended(id);
+    }
+
+    /// The client of a stream has disconnected: no answer is owed any more.
+    pub(super) fn disconnect_client(&mut self, id: StreamId) {
+        let Some(stream) = self.streams.get_unanswered_mut(id) else { return };
+        stream.answered = true;
+        // The client's connection need not stay open for as long as an attempt may be in flight.
+        stream.downstream = Box::new(DisconnectedClient);
+        let fleet = stream.fleet;
+        self.cancel_unsent(id);
+        self.admin.metrics.client_disconnected();
+        self.record(id, StreamOutcome::ClientDisconnected, 0);
+        self.fleets[fleet].events.push(Event::ClientDisconnected(JobId(id)));
+        self.streams.remove_if_ended(id);
     }
 
-    /// Takes down that a stream has finished.
-    pub(super) fn record(&self, id: StreamId, finish: StreamOutcome, sent: usize) {
-        let Some(stream) = self.streams.get(&id) else { return };
+    /// Logs a finished stream and passes it to the flow records.
+    fn record(&self, id: StreamId, outcome: StreamOutcome, bytes_sent: usize) {
+        let Some(stream) = self.streams.get(id) else { return };
         tracing::debug!(
             id = stream.payload.id(),
             class = stream.class.0,
-            ms = (clock::now() - stream.came) / 1000,
-            rounds = stream.rounds,
-            ran = stream.ran,
-            bytes = sent,
-            "stream ended: {finish:?}"
+            duration_ms = (clock::now() - stream.arrived_at) / 1000,
+            attempts = stream.attempts,
+            attempts_run = stream.attempts_run,
+            bytes = bytes_sent,
+            ?outcome,
+            "stream ended"
         );
         let Some(flows) = &self.flows else { return };
         flows.finished(Flow {
             stream: id,
             class: stream.class,
-            start: stream.came,
+            start: stream.arrived_at,
             end: clock::now(),
             downstream: stream.peer,
-            upstream: stream.host,
+            upstream: stream.last_upstream,
             received: stream.payload.body.len(),
-            sent,
-            finish,
+            sent: bytes_sent,
+            finish: outcome,
         });
     }
 }
+
+/// The job of a stream, for the decisions.
+fn job_request(new: &NewStream, now: Micros) -> JobRequest {
+    JobRequest {
+        job: JobId(new.id),
+        class: new.class,
+        tenant: new.tenant,
+        slots: new.slots,
+        memory: new.memory,
+        work_hint: new.hint,
+        key: new.key,
+        budget: new.deadline - now,
+    }
+}
--- a/dispatcher/src/core/pool.rs
+++ b/dispatcher/src/core/pool.rs
@@ -1,130 +1,151 @@
-//! Idle connections to one upstream host, and for how long such can be trusted.
+//! Idle connections to one upstream host, and an estimate of how long an idle connection stays usable.
 
 use super::UpstreamConnection;
 use roselock::Micros;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Most idle connections kept to one host.
-const MOST: usize = 16;
-/// A connection that breaks after less than this does not break for having been idle.
-const IDLE: Micros = 20_000;
-/// What is taken for proven before anything is.
-const FIRST: Micros = 1_000_000;
-/// A host may answer twice, some milliseconds apart. Its second answer would be taken for that to the next request, and a
-/// request that runs be sent again: after such an answer a connection rests before its next use.
-pub const SETTLE: Micros = 50_000;
-/// How long a broken connection keeps the trust in others down.
-const WARY: Micros = 10_000_000;
+/// Most idle connections in the pool of one host.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// A connection that breaks after idling for less than this, in microseconds, did not break for having been idle.
+const MIN_SUSPICIOUS_IDLE: Micros = 20_000;
+/// The idle time, in microseconds, that counts as proven before any connection was reused.
+const INITIAL_PROVEN_IDLE: Micros = 1_000_000;
+/// A host may answer twice, some milliseconds apart. The second answer would be taken for the answer to the next request,
+/// and a request that runs would be sent again: after such an answer a connection rests for so long, in microseconds,
+/// before its next use.
+pub const REST_AFTER_ANSWER: Micros = 50_000;
+/// For so long after a reused connection broke, in microseconds, the limit is not raised.
+const LIMIT_FROZEN_AFTER_BREAK: Micros = 10_000_000;
 
-/// How long a connection may idle and still be written to, learned from those that were. Hosts, or what stands
-/// before them, may drop idle connections sooner than told, without a word until the next request.
-pub struct Trust {
-    /// As told.
-    told: Micros,
-    /// As learned: the longest that seems right, and the longest that has worked.
+/// How long a connection may idle and still be written to, learned from those that were reused. Hosts, or proxies before
+/// them, may close idle connections sooner than configured, and silently until the next request.
+pub struct IdleTimeoutEstimate {
+    /// The configured idle timeout, with its margin.
+    configured: Micros,
+    /// The longest idle time that seems safe.
     limit: Micros,
+    /// The longest idle time that has worked.
     proven: Micros,
-    /// When one broke last.
-    broke: Option<Micros>,
+    /// When a reused connection last broke.
+    last_break: Option<Micros>,
 }
 
-impl Trust {
-    /// Nothing is learned yet.
-    pub fn new(told: Micros) -> Trust {
-        Trust { told, limit: told, proven: FIRST.min(told), broke: None }
+impl IdleTimeoutEstimate {
+    /// An estimate that has learned nothing yet, for a configured idle timeout.
+    pub fn new(configured: Micros) -> IdleTimeoutEstimate {
+        IdleTimeoutEstimate {
+            configured,
+            limit: configured,
+            proven: INITIAL_PROVEN_IDLE.min(configured),
+            last_break: None,
+        }
     }
-    /// The time that is told is another one: what was learned holds within it, and where nothing was, the new time does.
-    pub fn retell(&mut self, told: Micros) {
-        self.limit = if self.limit == self.told { told } else { self.limit.min(told) };
-        self.proven = self.proven.min(told);
-        self.told = told;
+    /// Changes the configured idle timeout. What was learned is bounded by it; where nothing was learned, it applies.
+    pub fn set_idle_timeout(&mut self, configured: Micros) {
+        let nothing_learned = self.limit == self.configured;
+        self.limit = if nothing_learned { configured } else { self.limit.min(configured) };
+        self.proven = self.proven.min(configured);
+        self.configured = configured;
     }
-    /// A connection that had idled so long was answered on.
-    pub fn worked(&mut self, idle: Micros, now: Micros) {
-        if self.broke.is_none_or(|at| now - at > WARY) {
+    /// A connection that had idled for so long was answered on.
+    pub fn record_success(&mut self, idle: Micros, now: Micros) {
+        if self.last_break.is_none_or(|at| now - at > LIMIT_FROZEN_AFTER_BREAK) {
             self.limit = self.limit.max(idle);
         }
         self.proven = self.proven.max(idle.min(self.limit));
     }
-    /// One broke under its next request.
-    pub fn broke(&mut self, idle: Micros, now: Micros) {
-        if idle >= IDLE {
-            self.broke = Some(now);
+    /// A connection that had idled for so long broke under its next request.
+    pub fn record_break(&mut self, idle: Micros, now: Micros) {
+        if idle >= MIN_SUSPICIOUS_IDLE {
+            self.last_break = Some(now);
             self.limit = self.limit.min(idle * 3 / 4);
             self.proven = self.proven.min(self.limit);
         }
     }
-    /// Since when a connection may have idled: for what does no harm, for what may be repeated, for what may not.
-    pub fn since(&self, now: Micros, need: Need) -> Micros {
-        let span = match need {
-            Need::Control => self.told,
-            Need::Repeatable => self.limit,
-            // A little more than has worked, or it would never grow where nothing else is sent.
-            Need::Once => self.limit.min(self.proven * 2 + IDLE),
+    /// The earliest time since which a connection may have been idle to be used in this way now.
+    pub fn oldest_usable(&self, now: Micros, connection_use: ConnectionUse) -> Micros {
+        let max_idle = match connection_use {
+            ConnectionUse::Control => self.configured,
+            ConnectionUse::Repeatable => self.limit,
+            // A little more than has worked, or the proven time would never grow where nothing else is sent.
+            ConnectionUse::Once => self.limit.min(self.proven * 2 + MIN_SUSPICIOUS_IDLE),
         };
-        now - span
+        now - max_idle
     }
 }
 
 /// What a connection is wanted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
-    /// A probe or a withdrawal: it tries the oldest connection.
+pub enum ConnectionUse {
+    /// A health check or a withdrawal, which does no harm on a broken connection: it takes the oldest one.
     Control,
-    /// An attempt that may be sent again.
+    /// An attempt that may be repeated.
     Repeatable,
-    /// One that may not.
+    /// An attempt that may not be repeated.
     Once,
 }
 
-/// The idle connections to one host, latest last.
+/// An idle connection.
+pub struct IdleConnection {
+    /// Since when it is idle.
+    pub idle_since: Micros,
+    /// From when on it may be used again.
+    usable_from: Micros,
+    /// The connection.
+    pub connection: Arc<dyn UpstreamConnection>,
+}
+
+/// The idle connections to one host, the latest one last.
 #[derive(Default)]
 pub struct Pool {
-    idle: VecDeque<Idle>,
+    idle: VecDeque<IdleConnection>,
 }
 
-/// An idle connection: since when, from when on it may be used again, and itself.
-type Idle = (Micros, Micros, Arc<dyn UpstreamConnection>);
-
 impl Pool {
-    /// Takes one that is still open, has rested and fell idle after `since`, with when it did: the latest, or for an
-    /// control request the oldest.
+    /// Takes a connection that is still open, has rested, and for an attempt is idle since `oldest_usable` or later. An
+    /// attempt gets the latest one, a control request the oldest one.
     pub fn take(
         &mut self,
         now: Micros,
-        since: Micros,
-        need: Need,
-    ) -> Option<(Micros, Arc<dyn UpstreamConnection>)> {
-        self.idle.retain(|i| i.2.is_open());
-        let rested = |i: &Idle| i.1 <= now;
-        let at = match need {
-            Need::Control => self.idle.iter().position(rested),
-            _ => self.idle.iter().rposition(rested).filter(|at| self.idle[*at].0 >= since),
+        oldest_usable: Micros,
+        connection_use: ConnectionUse,
+    ) -> Option<IdleConnection> {
+        self.idle.retain(|idle| idle.connection.is_open());
+        let has_rested = |idle: &IdleConnection| idle.usable_from <= now;
+        let index = match connection_use {
+            ConnectionUse::Control => self.idle.iter().position(has_rested)?,
+            ConnectionUse::Repeatable | ConnectionUse::Once => {
+                let latest = self.idle.iter().rposition(has_rested)?;
+                if self.idle[latest].idle_since < oldest_usable {
+                    return None;
+                }
+                latest
+            }
         };
-        self.idle.remove(at?).map(|(since, _, link)| (since, link))
+        self.idle.remove(index)
     }
-    /// Keeps a connection that fell idle and rests for so long; the oldest one goes where there are too many.
-    pub fn put(&mut self, link: Arc<dyn UpstreamConnection>, now: Micros, rest: Micros) {
-        self.idle.push_back((now, now + rest, link));
-        if self.idle.len() > MOST {
+    /// Adds a connection that became idle and rests for so long; the oldest one goes where there are too many.
+    pub fn put(&mut self, connection: Arc<dyn UpstreamConnection>, now: Micros, rest: Micros) {
+        self.idle.push_back(IdleConnection { idle_since: now, usable_from: now + rest, connection });
+        if self.idle.len() > MAX_IDLE_CONNECTIONS {
             self.idle.pop_front();
         }
     }
-    /// Drops those that fell idle before `since`; a dropped connection closes.
-    pub fn expire(&mut self, since: Micros) {
-        while self.idle.front().is_some_and(|i| i.0 < since) {
+    /// Drops those that became idle before `cutoff`; a dropped connection closes.
+    pub fn expire(&mut self, cutoff: Micros) {
+        while self.idle.front().is_some_and(|idle| idle.idle_since < cutoff) {
             self.idle.pop_front();
         }
     }
-    /// Keeps but one of those that fell idle before `since`, too long ago for attempts: for control requests.
-    pub fn thin(&mut self, since: Micros) {
-        while self.idle.get(1).is_some_and(|i| i.0 < since) {
+    /// Keeps only one of those that became idle before `cutoff`, too long ago for attempts: for control requests.
+    pub fn keep_one_older_than(&mut self, cutoff: Micros) {
+        while self.idle.get(1).is_some_and(|idle| idle.idle_since < cutoff) {
             self.idle.pop_front();
         }
     }
-    /// Drops the oldest one.
-    pub fn shed(&mut self) -> bool {
+    /// Drops the oldest one; false if there is none.
+    pub fn drop_oldest(&mut self) -> bool {
         self.idle.pop_front().is_some()
     }
     /// Drops all.
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -64,7 +64,7 @@
     let mut core = Core::new(inbox.clone(), outlet, flows, operation.clone());
     // Only its list counts as told unheard: what comes to us by itself is told by its connection.
     let settings = Settings { list_lease_enabled: true, ..site.settings.clone() };
-    let fleet = core.add_fleet(settings, config.seed, Some(Box::new(dialer)))?;
+    let fleet = core.add_fleet(settings, config.seed, Some(Box::new(dialer))).map_err(|e| e.to_string())?;
     config.dial_limits.into_iter().for_each(|limits| core.set_dial_limits(fleet, limits));
     let mut watch = Watch {
         endpoint: registry.clone(),
