--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -2,7 +2,7 @@
 
 use super::settings_error::{ConfigError, SourceLocation, parse};
 use super::{log, startup_settings};
-use crate::wire::list::{List, Target};
+use crate::wire::list::{EndpointList, Target};
 use crate::wire::{gearman, ipfix};
 use roselock::settings::{Options, Site};
 use roselock_dial_limiter::DialLimits;
@@ -100,7 +100,7 @@
     /// What the machine grants.
     pub limits: Limits,
     /// The list as last known.
-    pub known: List,
+    pub known: EndpointList,
     /// The settings of the decisions.
     pub site: Site,
     /// Whether moves of discovery are followed at one's place in a round.
@@ -209,7 +209,7 @@
         name: if file.name.is_empty() { env("NODE_NAME").unwrap_or_default() } else { file.name },
         seed,
         limits: file.limits,
-        known: List { rev: file.known.rev, all: true, targets: file.known.targets },
+        known: EndpointList { revision: file.known.rev, is_complete: true, targets: file.known.targets },
         spread_moves: parts.start.spread_moves,
         resync_after,
         dial_limits: parts.start.dial_limits(site.settings.fleet_size),
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -7,12 +7,10 @@
 use crate::core::{FleetId, Inbox, Input, clock};
 use crate::wire::admin::{self, Admin};
 use crate::wire::connection_limiter::ConnectionLimiter;
-use crate::wire::discovery::{DiscoveryEndpoint, Progress, Watch};
+use crate::wire::discovery::{DiscoveryHandle, DiscoveryWatcher, WatcherParameters};
 use crate::wire::front::{self, Front};
 use crate::wire::gearman::{self, Gearman};
 use crate::wire::ipfix;
-use crate::wire::list::hosts;
-use crate::wire::list_history::ListHistory;
 use crate::wire::upstream::HttpDialer;
 use may::sync::mpsc::channel;
 use roselock::settings::{Site, fnv};
@@ -56,7 +54,7 @@
         watch: ask.clone(),
         metrics: operation.metrics.clone(),
     };
-    let registry = DiscoveryEndpoint::new(config.discovery, ask, !config.site.settings.watch_required);
+    let registry = DiscoveryHandle::new(config.discovery, ask, !config.site.settings.watch_required);
     let flows = config.ipfix.as_ref().map(|file| ipfix::start(file, &site)).transpose()?;
     let owner =
         suspension_store::StoreIdentity { site: config.listen.to_string(), name: config.name.clone() };
@@ -66,25 +64,18 @@
     let settings = Settings { list_lease_enabled: true, ..site.settings.clone() };
     let fleet = core.add_fleet(settings, config.seed, Some(Box::new(dialer)))?;
     config.dial_limits.into_iter().for_each(|limits| core.set_dial_limits(fleet, limits));
-    let mut watch = Watch {
-        endpoint: registry.clone(),
-        rev: Some(config.known.rev),
-        empty_list: false,
-        consecutive_empty_lists: 0,
+    let mut watcher = DiscoveryWatcher::new(WatcherParameters {
+        handle: registry.clone(),
+        cached_revision: config.known.revision,
         site: config.site.clone(),
         inbox: inbox.clone(),
         fleet,
         metrics: operation.metrics.clone(),
         resync_after: config.resync_after,
-        resync: None,
-        progress: Progress::default(),
-        history: ListHistory::default(),
-    };
-    let mut known = config.known.clone();
-    watch.history.admit(&mut known);
-    let known = hosts(&known, &mut watch.site);
+    });
+    let known = watcher.record_cached(config.known.clone());
     core.seed_known_hosts(fleet, known);
-    may::go!(move || watch.run(&asked));
+    may::go!(move || watcher.run(&asked));
 
     let (listener, inherited) = listen::for_clients(&config)?;
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
@@ -165,7 +156,7 @@
 struct Parts {
     inbox: Inbox,
     fleet: FleetId,
-    registry: DiscoveryEndpoint,
+    registry: DiscoveryHandle,
     /// Moves of discovery told so far: one that waits for its turn is void once there is a later one.
     moves: Arc<AtomicUsize>,
     gearman: Option<Arc<Gearman>>,
@@ -191,7 +182,7 @@
             new.dial_limits
                 .into_iter()
                 .for_each(|l| self.inbox.post(Input::DialLimitsChanged { fleet: self.fleet, limits: l }));
-            self.registry.set_pushed(!new.site.settings.watch_required);
+            self.registry.set_always_watch(!new.site.settings.watch_required);
         } else {
             tracing::warn!(
                 "{name}: other classes, tenants, zones, kinds or load reports take effect at the next start; the settings in \
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -1,315 +1,184 @@
-//! The list of upstream hosts, and the watch on its changes.
+//! The discovery client: polls the endpoint list of upstream hosts and watches its changes.
 
-use super::http::{HttpError, Reader, by};
-use super::list::{List, Lists, hosts};
+mod handle;
+mod stream;
+
+use super::http::{HttpError, by};
+use super::list::{EndpointList, listed_hosts};
 use super::list_history::ListHistory;
-use super::socket::{ConnectError, LocalRetry, Socket};
-use crate::core::{FleetId, Inbox, Input, clock};
-use may::sync::mpsc::{Receiver, Sender};
-use parking_lot::{Mutex, MutexGuard};
+use crate::core::{FleetId, Inbox, Input, ListedHost, clock};
+pub use handle::DiscoveryHandle;
+use handle::Location;
+use may::sync::mpsc::Receiver;
+use roselock::Micros;
 use roselock::settings::Site;
-use roselock::{ListMode, Micros, SECOND};
 use roselock_admin::metrics::Metrics;
-use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, WATCH_TIMEOUT, WatchEnd, WatchEndReason};
-use std::net::SocketAddr;
+use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, WatchEnd, WatchEndReason};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
 
-/// How long a connection may take to come up and a request to be written, and how long an answer, which may wait for its
-/// turn.
-const CONNECT: Micros = SECOND;
-const ANSWER: Micros = 3 * SECOND;
-/// Between calls where lists are pushed: the agent is the machine's own, and what it has counts as told at once.
-const PUSHED: std::time::Duration = std::time::Duration::from_millis(100);
-/// A whole list of nobody is hardly ever true: it is asked for again after so long, each time twice as long, at most
-/// [`DOUBLED`] times.
-const NOBODY: Micros = SECOND;
-const DOUBLED: u32 = 3;
-/// Longest line of a watch, and the longest whole list, in bytes: 3,200 workers with 1,300 bytes each.
+/// The pause between watches where lists are pushed: the service is this machine's agent, so it needs no backoff.
+const PUSH_RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Longest chunk of a watch, and the longest full list, in bytes: 3,200 workers with 1,300 bytes each.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Where discovery is, for the watch that asks there and for whoever moves it.
-#[derive(Clone)]
-pub struct DiscoveryEndpoint {
-    place: Arc<Mutex<Place>>,
-    /// Lists are pushed: the watch is kept from the first moment on, whether or not it is asked for.
-    pushed: Arc<AtomicBool>,
-    ask: Sender<()>,
-}
-
-struct Place {
-    at: SocketAddr,
-    /// Counts the moves, and when the latest was.
-    moves: u64,
-    moved_at: Micros,
-    /// The connection that the watch reads from.
-    socket: Option<Socket>,
-}
-
-impl DiscoveryEndpoint {
-    /// Discovery at an address; `ask` wakes the watch.
-    pub fn new(at: SocketAddr, ask: Sender<()>, pushed: bool) -> DiscoveryEndpoint {
-        let place = Place { at, moves: 0, moved_at: 0, socket: None };
-        DiscoveryEndpoint {
-            place: Arc::new(Mutex::new(place)),
-            pushed: Arc::new(AtomicBool::new(pushed)),
-            ask,
-        }
-    }
-    fn pushed(&self) -> bool {
-        self.pushed.load(Ordering::SeqCst)
-    }
-    /// Whether lists are pushed from now on.
-    pub fn set_pushed(&self, pushed: bool) {
-        if self.pushed.swap(pushed, Ordering::SeqCst) != pushed {
-            let _ = self.ask.send(());
-        }
-    }
-    fn place(&self) -> MutexGuard<'_, Place> {
-        self.place.lock()
-    }
-    /// Discovery is elsewhere from now on: ends the watch at the former address and wakes it. False if it is not.
-    pub fn move_to(&self, at: SocketAddr) -> bool {
-        let mut place = self.place();
-        if place.at == at {
-            return false;
-        }
-        (place.at, place.moves, place.moved_at) = (at, place.moves + 1, clock::now());
-        place.socket.take().iter().for_each(Socket::close);
-        drop(place);
-        let _ = self.ask.send(());
-        true
-    }
-}
-
-/// Keeps the watch.
-pub struct Watch {
+/// What a [`DiscoveryWatcher`] is made of.
+pub struct WatcherParameters {
     /// Where discovery is.
-    pub endpoint: DiscoveryEndpoint,
-    /// The version last heard of there; none where discovery has not been heard yet.
-    pub rev: Option<u64>,
-    /// The latest word of who is there was a whole list of nobody.
-    pub empty_list: bool,
-    /// Watches in a row that ended with that.
-    pub consecutive_empty_lists: u32,
-    /// Names met in lists get numbers of their own here.
+    pub handle: DiscoveryHandle,
+    /// The revision of the cached list, from which on changes are watched.
+    pub cached_revision: u64,
+    /// Zones and kinds that lists name get ids of their own in this copy.
     pub site: Site,
     /// The way to the decisions.
     pub inbox: Inbox,
-    /// Whose hosts these are.
+    /// Whose hosts are listed.
     pub fleet: FleetId,
-    /// Where spoilt lists are counted.
+    /// Counts malformed lists.
     pub metrics: Arc<Metrics>,
-    /// How long after a move the whole list is asked for, and when it will be, unless it is told by then.
+    /// How long after a move of discovery the full list is polled at the earliest.
     pub resync_after: Micros,
-    /// See [`Watch::resync_after`].
-    pub resync: Option<Micros>,
-    /// How far the present watch has come.
-    pub progress: Progress,
-    /// What the service at the present address has told.
-    pub history: ListHistory,
 }
 
-/// How far a watch has come.
+/// Keeps the watch on the endpoint list, and hands lists to the decisions.
+pub struct DiscoveryWatcher {
+    handle: DiscoveryHandle,
+    /// The latest revision; none where the full list has to be polled.
+    revision: Option<u64>,
+    /// The latest complete list had no host, and no change since has added one.
+    is_list_empty: bool,
+    /// Watches in a row that ended with an empty list.
+    consecutive_empty_lists: u32,
+    site: Site,
+    inbox: Inbox,
+    fleet: FleetId,
+    metrics: Arc<Metrics>,
+    resync_after: Micros,
+    /// When the full list is polled after a move, unless it comes by itself until then.
+    resync_at: Option<Micros>,
+    progress: WatchProgress,
+    /// What the service at the present address has sent.
+    history: ListHistory,
+}
+
+/// How far the present watch has come.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Progress {
-    /// There was a connection.
-    reached: bool,
-    /// There was none, for want of something on this machine.
-    short: bool,
-    /// The latest word on it.
-    word: Option<Micros>,
+struct WatchProgress {
+    /// A connection came up.
+    connected: bool,
+    /// None came up, as this machine was short of something.
+    failed_locally: bool,
+    /// When the latest event was received.
+    last_event_at: Option<Micros>,
 }
 
-impl Watch {
-    /// Watches whenever it is asked to, until the watch breaks; where lists are pushed, always. When to ask again is not
-    /// decided here; but a watch that was moved goes on at the new address at once.
-    pub fn run(mut self, asked: &Receiver<()>) {
-        let mut watched = 0;
-        while self.endpoint.pushed() || asked.recv().is_ok() {
-            let end = loop {
-                // One watch answers all who asked until now.
-                while asked.try_recv().is_ok() {}
-                let (at, moves, moved_at) = {
-                    let place = self.endpoint.place();
-                    (place.at, place.moves, place.moved_at)
-                };
-                if moves != watched {
-                    watched = moves;
-                    self.moved(moved_at);
-                }
-                let end = self.watch_once(at, moves);
-                // Who asked while it was open has been answered by it. Before the look at the moves: one that comes
-                // later asks anew.
-                while asked.try_recv().is_ok() {}
-                if self.endpoint.place().moves == moves {
-                    break end;
-                }
-            };
-            self.inbox.post(Input::WatchEnded { fleet: self.fleet, end });
-            if self.endpoint.pushed() {
-                may::coroutine::sleep(PUSHED);
-            }
+impl DiscoveryWatcher {
+    /// A watcher that has not polled yet.
+    pub fn new(parameters: WatcherParameters) -> DiscoveryWatcher {
+        DiscoveryWatcher {
+            handle: parameters.handle,
+            revision: Some(parameters.cached_revision),
+            is_list_empty: false,
+            consecutive_empty_lists: 0,
+            site: parameters.site,
+            inbox: parameters.inbox,
+            fleet: parameters.fleet,
+            metrics: parameters.metrics,
+            resync_after: parameters.resync_after,
+            resync_at: None,
+            progress: WatchProgress::default(),
+            history: ListHistory::default(),
         }
     }
 
-    /// Discovery is at another address. Only what changed is asked for there, which costs it little when all dispatchers
-    /// move at once. Should its versions be others, that tells too little: the whole list follows later, for each
-    /// dispatcher at a place of its own.
-    fn moved(&mut self, moved_at: Micros) {
-        self.inbox.post(Input::DiscoveryMoved { fleet: self.fleet, at: moved_at });
-        // Versions there may be others.
-        self.history = ListHistory::default();
-        let place = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
-        let spread = (self.resync_after as f64 * place) as Micros;
-        self.resync = Some(clock::now() + self.resync_after + spread);
-    }
-
-    /// One watch, or the call for it, up to its end.
-    fn watch_once(&mut self, at: SocketAddr, moves: u64) -> WatchEnd {
-        let began = clock::now();
-        self.progress = Progress::default();
-        let ended = self.watch(at, moves);
-        self.consecutive_empty_lists =
-            if self.empty_list { self.consecutive_empty_lists.saturating_add(1) } else { 0 };
-        if self.empty_list {
-            // The version of such a list says nothing.
-            self.rev = None;
-        }
-        tracing::warn!("discovery at {at}: the watch ended: {ended:?}");
-        let reason = match ended {
-            _ if self.progress.short => WatchEndReason::LocalFailure,
-            _ if !self.progress.reached => WatchEndReason::Unreachable,
-            Err(HttpError::Late) => WatchEndReason::Silent,
-            _ => WatchEndReason::Refused,
-        };
-        // What comes before the first word of a watch says that the service does not answer: when it says so itself.
-        let seen = if reason == WatchEndReason::Refused { clock::now() } else { began };
-        WatchEnd { reason, in_sync_until: self.progress.word.unwrap_or(seen) }
+    /// Records the cached list as what discovery sent last; its hosts.
+    pub fn record_cached(&mut self, mut list: EndpointList) -> Vec<ListedHost> {
+        self.history.record(&mut list);
+        listed_hosts(&list, &mut self.site)
     }
 
-    /// Opens a connection; it is ended by a move. Where this machine is short of something for it, it tries again.
-    fn connect(&mut self, at: SocketAddr, moves: u64) -> Result<Socket, HttpError> {
-        let last = by(CONNECT);
-        let mut retry = LocalRetry::default();
-        let socket = loop {
-            match Socket::connect(at, last) {
-                Ok(socket) => break socket,
-                Err(ConnectError::Peer(_)) => return Err(HttpError::Broken),
-                Err(ConnectError::Local(why)) => {
-                    tracing::debug!("no connection for discovery yet: {why}");
-                    if !retry.wait(last) {
-                        self.progress.short = true;
-                        return Err(HttpError::Broken);
-                    }
-                }
+    /// Watches after each poll request, until the watch ends; where lists are pushed, all the time. When to poll again is
+    /// decided elsewhere; but after a move the watch continues at the new address at once.
+    pub fn run(mut self, poll_requests: &Receiver<()>) {
+        let mut generation = 0;
+        while self.handle.always_watches() || poll_requests.recv().is_ok() {
+            let end = self.watch_across_moves(poll_requests, &mut generation);
+            self.inbox.post(Input::WatchEnded { fleet: self.fleet, end });
+            if self.handle.always_watches() {
+                may::coroutine::sleep(PUSH_RECONNECT_PAUSE);
             }
-        };
-        let mut place = self.endpoint.place();
-        if place.moves != moves {
-            return Err(HttpError::Ended);
         }
-        place.socket = Some(socket.clone());
-        Ok(socket)
     }
 
-    fn watch(&mut self, at: SocketAddr, moves: u64) -> Result<(), HttpError> {
-        let mut socket = self.connect(at, moves)?;
-        self.progress.reached = true;
-        let call = |query: &str| format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {at}\r\n\r\n");
-        let mut reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
-        if self.rev.is_none() {
-            socket.write(&[call("").as_bytes()], by(CONNECT)).map_err(|_| HttpError::Broken)?;
-            let answer = reader.response(by(ANSWER))?;
-            if answer.status != 200 {
-                return Err(HttpError::Status(answer.status));
-            }
-            match serde_json::from_slice(answer.body()) {
-                Ok(list) => self.take(list)?,
-                Err(e) => self.malformed(&e.to_string()),
-            }
-            if answer.close {
-                socket = self.connect(at, moves)?;
-                reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
-            }
-        }
-        let Some(rev) = self.rev else { return Err(HttpError::Status(400)) };
-        let query = format!("?watch=1&after={rev}");
-        socket.write(&[call(&query).as_bytes()], by(CONNECT)).map_err(|_| HttpError::Broken)?;
-        let head = reader.stream_head(by(ANSWER))?;
-        if head.status != 200 {
-            return Err(HttpError::Status(head.status));
-        }
-        let mut lists = Lists::default();
-        let mut again = None;
-        let mut silent = by(WATCH_TIMEOUT);
+    /// Watches until a watch ends for another reason than a move. `generation` is that of the latest watch.
+    fn watch_across_moves(&mut self, poll_requests: &Receiver<()>, generation: &mut u64) -> WatchEnd {
         loop {
-            let ask_again = || by(NOBODY << self.consecutive_empty_lists.min(DOUBLED));
-            again = self.empty_list.then(|| again.unwrap_or_else(ask_again));
-            let (mut chunk, begun) = (Vec::new(), lists.held() > 0);
-            let due = [again, self.resync].into_iter().flatten().fold(silent, Micros::min);
-            match reader.chunk(&mut chunk, MAX_LIST_BYTES, due) {
-                Err(HttpError::Late) if self.resync == Some(due) => {
-                    self.rev = None;
-                    return Ok(());
-                }
-                ended if !ended? => return Ok(()),
-                _ => {}
-            }
-            lists.push(&chunk);
-            let mut whole = false;
-            while let Some(found) = lists.next() {
-                whole = true;
-                match found {
-                    Ok(list) => self.take(list)?,
-                    Err(why) => self.malformed(&why),
-                }
-            }
-            // A list that trickles in has no longer than silence has: it tells as little.
-            if whole || !begun || lists.held() == 0 {
-                silent = by(WATCH_TIMEOUT);
-            }
-            if lists.held() == 0 {
-                self.heard();
+            // One watch answers all requests until now.
+            discard_pending(poll_requests);
+            let location = self.handle.location();
+            if location.generation != *generation {
+                *generation = location.generation;
+                self.note_move(location.moved_at);
             }
-            if lists.held() > MAX_LIST_BYTES {
-                return Err(HttpError::Status(413));
+            let end = self.watch_once(location);
+            // The watch has answered the requests that came while it was open. Discarded before the generation is
+            // compared: a later move sends a request of its own.
+            discard_pending(poll_requests);
+            if self.handle.location().generation == location.generation {
+                return end;
             }
         }
     }
 
-    /// A word on the watch, and no part of another. The first one says that nothing is missing, be it an empty line.
-    fn heard(&mut self) {
-        if self.progress.word.replace(clock::now()).is_none() {
-            self.inbox.post(Input::Hosts { fleet: self.fleet, mode: ListMode::Changes, hosts: Vec::new() });
-        }
+    /// Discovery is at another address. Only changes are watched there, which costs it little when all dispatchers move
+    /// at once. Its revisions may be others, so that changes say too little: the full list is polled later, by each
+    /// dispatcher at a time of its own.
+    fn note_move(&mut self, moved_at: Micros) {
+        self.inbox.post(Input::DiscoveryMoved { fleet: self.fleet, at: moved_at });
+        // Revisions of the former address cannot be compared with those of this one.
+        self.history = ListHistory::default();
+        let position = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
+        let spread = (self.resync_after as f64 * position) as Micros;
+        self.resync_at = Some(by(self.resync_after + spread));
     }
 
-    /// A list that makes no sense is dropped; the last good one stays.
-    fn malformed(&self, why: &str) {
-        let count = self.metrics.count_malformed_list();
-        tracing::warn!("discovery: not a list, dropped ({count} so far): {why}");
+    /// One watch, from the connection to its end.
+    fn watch_once(&mut self, location: Location) -> WatchEnd {
+        let started_at = clock::now();
+        self.progress = WatchProgress::default();
+        let result = self.watch(location);
+        self.count_empty_lists();
+        tracing::warn!(address = %location.address, reason = ?result, "discovery watch closed");
+        let reason = self.end_reason(result);
+        // Without any event the service is known not to answer since the watch began, or since it refused.
+        let unanswered_at = if reason == WatchEndReason::Refused { clock::now() } else { started_at };
+        WatchEnd { reason, in_sync_until: self.progress.last_event_at.unwrap_or(unanswered_at) }
+    }
+
+    fn count_empty_lists(&mut self) {
+        if self.is_list_empty {
+            self.consecutive_empty_lists = self.consecutive_empty_lists.saturating_add(1);
+            // The revision of an empty list says nothing.
+            self.revision = None;
+        } else {
+            self.consecutive_empty_lists = 0;
+        }
     }
 
-    fn take(&mut self, mut list: List) -> Result<(), HttpError> {
-        if !list.all && self.rev.is_some_and(|rev| list.rev < rev) {
-            // Changes of what is not known here, or of long ago: the whole list is asked for.
-            tracing::warn!("discovery: changes go back to version {}; the whole list is asked for", list.rev);
-            self.rev = None;
-            return Err(HttpError::Status(409));
+    fn end_reason(&self, result: Result<(), HttpError>) -> WatchEndReason {
+        if self.progress.failed_locally {
+            return WatchEndReason::LocalFailure;
         }
-        self.rev = Some(list.rev);
-        self.progress.word = Some(clock::now());
-        self.resync.take_if(|_| list.all);
-        // Changes of nothing say nothing of who is there.
-        self.empty_list = list.targets.is_empty() && (list.all || self.empty_list);
-        if self.empty_list {
-            tracing::warn!("discovery: a list without any host; it is asked for again");
+        if !self.progress.connected {
+            return WatchEndReason::Unreachable;
+        }
+        match result {
+            Err(HttpError::Late) => WatchEndReason::Silent,
+            _ => WatchEndReason::Refused,
         }
-        self.history.admit(&mut list);
-        let mode = if list.all { ListMode::Complete } else { ListMode::Changes };
-        let hosts = hosts(&list, &mut self.site);
-        self.inbox.post(Input::Hosts { fleet: self.fleet, mode, hosts });
-        Ok(())
     }
 }
+
+fn discard_pending(poll_requests: &Receiver<()>) {
+    while poll_requests.try_recv().is_ok() {}
+}
--- /dev/null
+++ b/dispatcher/src/wire/list_parser.rs
@@ -0,0 +1,108 @@
+//! Finds the endpoint lists in the bytes of a discovery watch. No I/O.
+
+use super::list::EndpointList;
+use serde::de::IgnoredAny;
+use serde_json::Deserializer;
+use thiserror::Error;
+
+/// Why bytes of a watch were skipped.
+#[derive(Debug, Error)]
+pub enum MalformedList {
+    /// Another list begins before the end of this one.
+    #[error("cut off")]
+    Truncated,
+    /// It is no JSON, or no list.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+/// Finds the lists in a stream of bytes: JSON objects, each on one line or written over many indented ones. What is
+/// truncated or malformed is skipped, up to the next line that begins with a brace: only a list begins at the margin.
+#[derive(Default)]
+pub struct ListParser {
+    buffer: Vec<u8>,
+    /// Set while malformed bytes are skipped: whether the last of them ended a line.
+    skipping: Option<bool>,
+}
+
+impl ListParser {
+    /// Appends bytes as they were received.
+    pub fn push(&mut self, mut bytes: &[u8]) {
+        if let Some(at_line_start) = self.skipping {
+            let Some(start) = next_list_start(bytes, at_line_start) else {
+                self.skipping = Some(bytes.last().map_or(at_line_start, |byte| *byte == b'\n'));
+                return;
+            };
+            self.skipping = None;
+            bytes = &bytes[start..];
+        }
+        self.buffer.extend_from_slice(bytes);
+    }
+
+    /// Bytes of a list that is not complete yet; at least 1 while malformed bytes are skipped.
+    pub fn buffered(&self) -> usize {
+        self.buffer.len() + usize::from(self.skipping.is_some())
+    }
+
+    /// The next list, or why what stood there is skipped; none until more bytes are received.
+    pub fn next_list(&mut self) -> Option<Result<EndpointList, MalformedList>> {
+        self.skip_whitespace();
+        if self.buffer.is_empty() {
+            return None;
+        }
+        let mut values = Deserializer::from_slice(&self.buffer).into_iter::<IgnoredAny>();
+        let value = values.next()?;
+        let end = values.byte_offset();
+        match value {
+            Ok(_) => Some(self.take_list(end)),
+            Err(error) if error.is_eof() => self.skip_truncated(),
+            Err(error) => {
+                self.skip_malformed();
+                Some(Err(error.into()))
+            }
+        }
+    }
+
+    fn skip_whitespace(&mut self) {
+        let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        self.buffer.drain(..blank);
+    }
+
+    /// Takes the value that ends at `end`.
+    fn take_list(&mut self, end: usize) -> Result<EndpointList, MalformedList> {
+        let list = serde_json::from_slice(&self.buffer[..end]);
+        self.buffer.drain(..end);
+        Ok(list?)
+    }
+
+    /// Skips an incomplete list if a complete one follows it; otherwise the rest of it may still come.
+    fn skip_truncated(&mut self) -> Option<Result<EndpointList, MalformedList>> {
+        let next = next_list_start(&self.buffer[1..], false)? + 1;
+        let mut following = Deserializer::from_slice(&self.buffer[next..]).into_iter::<EndpointList>();
+        if !matches!(following.next(), Some(Ok(_))) {
+            return None;
+        }
+        self.buffer.drain(..next);
+        Some(Err(MalformedList::Truncated))
+    }
+
+    /// Skips up to the next list, which may not have been received yet.
+    fn skip_malformed(&mut self) {
+        if let Some(next) = next_list_start(&self.buffer[1..], false) {
+            self.buffer.drain(..=next);
+        } else {
+            self.skipping = Some(self.buffer.ends_with(b"\n"));
+            self.buffer.clear();
+        }
+    }
+}
+
+/// The first position where a line begins with a brace. `at_line_start`: whether `bytes` begin at the start of a line.
+fn next_list_start(bytes: &[u8], at_line_start: bool) -> Option<usize> {
+    let starts_line = |index: usize| if index == 0 { at_line_start } else { bytes[index - 1] == b'\n' };
+    (0..bytes.len()).find(|index| bytes[*index] == b'{' && starts_line(*index))
+}
+
+#[cfg(test)]
+#[path = "list_parser_tests.rs"]
+mod tests;
--- a/dispatcher/src/wire/mod.rs
+++ b/dispatcher/src/wire/mod.rs
@@ -11,5 +11,6 @@
 pub mod ipfix;
 pub mod list;
 pub mod list_history;
+mod list_parser;
 pub mod socket;
 pub mod upstream;
