--- a/dispatcher/src/cli.rs
+++ b/dispatcher/src/cli.rs
@@ -1,9 +1,13 @@
 //! The command line.
 
-use crate::lifecycle::{config, log, serve};
+use crate::lifecycle::config::{self, Config, ConfigFiles};
+use crate::lifecycle::error_chain::ErrorChain;
+use crate::lifecycle::load_error::LoadError;
+use crate::lifecycle::log_settings::{LogFormat, LogLevel};
+use crate::lifecycle::start_error::StartError;
+use crate::lifecycle::{serve, signals};
 use argh::FromArgs;
 use std::path::PathBuf;
-use std::process::ExitCode;
 
 /// Dispatches jobs from clients to workers.
 #[derive(FromArgs)]
@@ -16,11 +20,12 @@
 #[argh(subcommand)]
 enum Command {
     Serve(Serve),
-    Check(Check),
+    CheckConfig(CheckConfig),
     Version(Version),
 }
 
-macro_rules! with_files {
+/// A subcommand with the options that name the files of the configuration.
+macro_rules! command_with_config {
     ($(#[$meta:meta])* $name:ident) => {
         #[derive(FromArgs)]
         $(#[$meta])*
@@ -39,36 +44,36 @@
             operator: Option<PathBuf>,
             /// how much is logged: error, warn, info, debug or trace; goes before the operators' file
             #[argh(option)]
-            log_level: Option<log::Level>,
+            log_level: Option<LogLevel>,
             /// the form of the log: text or json; goes before the operators' file
-            #[argh(option)]
-            log_form: Option<log::Form>,
+            #[argh(option, long = "log-form")]
+            log_format: Option<LogFormat>,
         }
         impl $name {
-            fn load(self) -> Result<config::Config, String> {
-                config::load(config::Files {
+            fn load(self) -> Result<Config, LoadError> {
+                config::load(ConfigFiles {
                     config: self.config,
                     gearman: self.gearman,
                     ipfix: self.ipfix,
                     operator: self.operator,
                     log_level: self.log_level,
-                    log_form: self.log_form,
+                    log_format: self.log_format,
                 })
             }
         }
     };
 }
 
-with_files! {
+command_with_config! {
     /// Run the dispatcher until SIGTERM.
     #[argh(subcommand, name = "serve")]
     Serve
 }
 
-with_files! {
+command_with_config! {
     /// Read the configuration, say what is wrong with it, and start nothing.
     #[argh(subcommand, name = "check-config")]
-    Check
+    CheckConfig
 }
 
 /// Print the version.
@@ -77,24 +82,31 @@
 struct Version {}
 
 /// Runs a parsed command line.
-pub fn run(args: Args) -> ExitCode {
-    let done = match args.command {
-        // Before anything else: a signal that nobody catches would end the process.
-        Command::Serve(s) => serve::catch().and_then(|signals| serve::run(s.load()?, signals)),
-        Command::Check(c) => c.load().map(|c| {
-            c.warnings.iter().for_each(|warning| eprintln!("roselock: warning: {warning}"));
-            println!("{}: the configuration is fine", c.name);
-        }),
+///
+/// # Errors
+/// The configuration is rejected, or the process cannot start.
+pub fn run(args: Args) -> Result<(), StartError> {
+    match args.command {
+        Command::Serve(command) => {
+            // Before anything else: a signal without a handler would end the process.
+            let signals = signals::install_signal_handlers().map_err(StartError::Signals)?;
+            serve::run(command.load()?, signals)
+        }
+        Command::CheckConfig(command) => {
+            report_accepted(&command.load()?);
+            Ok(())
+        }
         Command::Version(_) => {
             println!("roselock {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("roselock: {message}");
-            ExitCode::FAILURE
-        }
     }
 }
+
+/// Prints the verdict on an accepted configuration.
+fn report_accepted(config: &Config) {
+    for warning in &config.warnings {
+        eprintln!("roselock: warning: {}", ErrorChain(warning));
+    }
+    println!("{}: the configuration is fine", config.name);
+}
--- /dev/null
+++ b/dispatcher/src/lifecycle/config/limits_tests.rs
@@ -0,0 +1,21 @@
+//! Tests of how the limits are divided.
+
+use super::*;
+use rstest::rstest;
+
+/// Guards against reserves that do not shrink with the limits: of 256 descriptors, clients may need a third for
+/// requests, call-backs a quarter of what is left to the front, and hosts enough for each to have a few.
+#[rstest]
+#[case(256, 32)]
+#[case(384, 48)]
+#[case(1024, 192)]
+fn limits_leave_each_user_enough(#[case] sockets: usize, #[case] memory_mb: usize) {
+    let shares = Limits { sockets, memory_mb }.shares(false);
+    assert!(shares.http_connections * 3 / 4 > sockets / 3, "{}", shares.http_connections);
+    assert!(shares.upstream_connections >= 64);
+    assert!(shares.upstream_connections + shares.http_connections + 16 <= sockets);
+    assert!(shares.http_bytes <= (memory_mb << 20) / 2);
+    let shares = Limits { sockets, memory_mb }.shares(true);
+    let connections = shares.upstream_connections + shares.http_connections + shares.gearman_connections;
+    assert!(connections + 16 <= sockets);
+}
--- /dev/null
+++ b/dispatcher/src/lifecycle/error_chain.rs
@@ -0,0 +1,23 @@
+//! An error with its sources, as one line for people.
+
+use std::error::Error;
+use std::fmt;
+
+/// Shows an error and each of its sources, separated by `: `.
+pub struct ErrorChain<'a>(pub &'a dyn Error);
+
+impl fmt::Display for ErrorChain<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}", self.0)?;
+        let mut source = self.0.source();
+        while let Some(error) = source {
+            write!(formatter, ": {error}")?;
+            source = error.source();
+        }
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+#[path = "error_chain_tests.rs"]
+mod tests;
--- a/dispatcher/src/lifecycle/mod.rs
+++ b/dispatcher/src/lifecycle/mod.rs
@@ -1,11 +1,18 @@
-//! Start and stop.
+//! Start, reload and stop of the process, and its configuration.
 
 pub mod config;
+pub mod error_chain;
 pub mod inherit;
 pub mod listen;
+pub mod load_error;
 pub mod log;
+pub mod log_settings;
 pub mod relay;
+pub mod reload;
 pub mod serve;
 pub mod settings_error;
+pub mod signals;
+pub mod start_error;
+pub mod startup;
 pub mod startup_settings;
 pub mod suspension_store;
--- a/dispatcher/src/lifecycle/settings_error.rs
+++ b/dispatcher/src/lifecycle/settings_error.rs
@@ -1,66 +1,60 @@
-//! What is wrong with a file of settings: file, line, key and cure.
+//! What is wrong with a setting: the file, the line, the key and what is expected.
 
 use std::ops::Range;
-use std::path::Path;
+use thiserror::Error;
 
-/// A value that makes no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// A setting with a value that is not allowed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{key}: {problem}; expected: {expected}")]
 pub struct ConfigError {
+    /// Where the value stands in the text of the file, in bytes.
     span: Option<Range<usize>>,
     key: String,
-    what: String,
-    cure: String,
-}
-
-/// Where a text of settings was read.
-pub struct SourceLocation<'a> {
-    /// The file.
-    pub path: &'a Path,
-    /// Its text.
-    pub text: &'a str,
-    /// What keys of the part begin with, such as `gearman.`.
-    pub prefix: &'a str,
+    problem: String,
+    expected: String,
 }
 
 impl ConfigError {
-    /// A problem of a key, with what would be right.
+    /// What is wrong with the value of a key, and what is expected in its place.
     pub fn new(
         span: impl Into<Option<Range<usize>>>,
         key: &str,
-        what: impl ToString,
-        cure: impl ToString,
+        problem: impl ToString,
+        expected: impl ToString,
     ) -> ConfigError {
-        ConfigError { span: span.into(), key: key.into(), what: what.to_string(), cure: cure.to_string() }
+        ConfigError {
+            span: span.into(),
+            key: key.to_owned(),
+            problem: problem.to_string(),
+            expected: expected.to_string(),
+        }
     }
 
-    /// In words, for a place.
-    pub fn at(&self, place: &SourceLocation) -> String {
-        let ConfigError { key, what, cure, .. } = self;
-        let line = self.span.as_ref().map(|s| format!("line {}: ", line(place.text, s.start)));
-        let (path, prefix) = (place.path.display(), place.prefix);
-        format!("{path}: {}{prefix}{key}: {what}; expected: {cure}", line.unwrap_or_default())
+    /// Adds the line in the text of the file, and what the keys of the part begin with, such as `gearman.`.
+    #[must_use]
+    pub fn locate(self, text: &str, prefix: &str) -> LocatedConfigError {
+        let line = self.span.as_ref().map(|span| line_number(text, span.start));
+        LocatedConfigError { line, prefix: prefix.to_owned(), error: self }
     }
 }
 
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}; expected: {}", self.key, self.what, self.cure)
-    }
+/// A [`ConfigError`] with its line in the file and the key's section.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}{prefix}{error}", line_prefix(*line))]
+pub struct LocatedConfigError {
+    line: Option<usize>,
+    prefix: String,
+    // Shown as a part of this one, so it is no source.
+    error: ConfigError,
 }
 
-fn line(text: &str, at: usize) -> usize {
-    text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
+/// `line 7: `, or nothing where the line is not known.
+pub fn line_prefix(line: Option<usize>) -> String {
+    line.map_or_else(String::new, |line| format!("line {line}: "))
 }
 
-/// What the parser says of a text, in the same form. Its message names the key, and the cure where there is one.
-pub fn parse<T: serde::de::DeserializeOwned>(path: &Path, text: &str) -> Result<T, String> {
-    toml::from_str(text).map_err(|e| {
-        let at = e.span().map(|s| {
-            let number = line(text, s.start);
-            let key = text.lines().nth(number - 1).and_then(|l| l.split_once('=')).map(|l| l.0.trim());
-            let key = key.map(|k| format!("{k}: ")).unwrap_or_default();
-            format!("line {number}: {key}")
-        });
-        format!("{}: {}{}", path.display(), at.unwrap_or_default(), e.message())
-    })
+/// The line, from 1 on, of a position in a text.
+pub fn line_number(text: &str, position: usize) -> usize {
+    let before = &text.as_bytes()[..position.min(text.len())];
+    before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
--- a/dispatcher/src/lifecycle/suspension_store.rs
+++ b/dispatcher/src/lifecycle/suspension_store.rs
@@ -6,132 +6,163 @@
 use crate::core::suspensions::{SuspendedWorkers, Suspensions};
 use roselock_admin::suspension_file::SuspensionFile;
 use std::fs::File;
-use std::io::Write;
+use std::io::{self, Write};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// How often the file is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Who the file belongs to.
-pub struct StoreIdentity {
-    /// The clients' address: the same for both processes of an upgrade.
-    pub site: String,
+/// Keeps the file and the suspended workers in step.
+pub struct SuspensionStore {
+    /// The clients' address, which marks the file as ours: the same for both processes of an upgrade.
+    site: String,
     /// The dispatcher's name.
-    pub name: String,
-}
-
-/// The file's place.
-fn path(name: &str) -> PathBuf {
-    let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
-    std::env::temp_dir().join(format!("roselock-{name}.suspended"))
+    name: String,
+    path: PathBuf,
+    suspensions: Arc<Suspensions>,
+    /// What the file holds.
+    written: SuspendedWorkers,
+    /// The file as it was last read or written.
+    stamp: Option<FileStamp>,
 }
 
-fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+/// Tells that the file changed: each write makes another file, whatever the wall clock says.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileStamp {
+    inode: u64,
+    modified: SystemTime,
+    bytes: u64,
 }
 
-/// Reads the file; what cannot be trusted is logged and left.
-fn read(path: &Path, owner: &StoreIdentity) -> Option<SuspendedWorkers> {
-    let bytes = match std::fs::read(path) {
-        Ok(bytes) => bytes,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return None,
-        Err(e) => {
-            tracing::warn!("{}: {} cannot be read, and is left: {e}", owner.name, path.display());
-            return None;
-        }
-    };
-    match SuspensionFile::decode(&bytes, &owner.site, &owner.name, now_ms()) {
-        Ok(saved) => Some(SuspendedWorkers { ids: saved.workers.into_iter().collect(), sequence: saved.seq }),
-        Err(why) => {
-            tracing::warn!("{}: {} is left: {why}", owner.name, path.display());
-            None
+impl SuspensionStore {
+    /// Restores the suspended workers of the previous process. To be called before the admin address opens.
+    pub fn load(site: String, name: String, suspensions: Arc<Suspensions>) -> SuspensionStore {
+        let path = file_path(&name);
+        // Before the file is read: what is written in between is seen as a change.
+        let stamp = FileStamp::of(&path);
+        let written = SuspendedWorkers::default();
+        let mut store = SuspensionStore { site, name, path, suspensions, written, stamp };
+        if let Some(saved) = store.read() {
+            tracing::info!(name = %store.name, count = saved.ids.len(), "restored suspended workers");
+            let sequence = saved.sequence;
+            store.suspensions.adopt(saved);
+            store.suspensions.mark_saved(sequence);
         }
+        store.written = store.suspensions.workers();
+        store
     }
-}
 
-/// Writes it whole under another name, then puts it in the place of the old one, and makes sure that both outlast a crash.
-fn write(path: &Path, owner: &StoreIdentity, wanted: &SuspendedWorkers) -> std::io::Result<()> {
-    let saved = SuspensionFile {
-        site: owner.site.clone(),
-        name: owner.name.clone(),
-        seq: wanted.sequence,
-        written_ms: now_ms(),
-        workers: wanted.ids.iter().cloned().collect(),
-    };
-    let new = path.with_extension(format!("new-{}", std::process::id()));
-    let mut file = File::create(&new)?;
-    file.write_all(&saved.encode())?;
-    file.sync_all()?;
-    std::fs::rename(&new, path)?;
-    path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())
-}
+    /// Keeps the file and the suspended workers in step, on a thread of its own, until the process ends.
+    pub fn spawn_sync(mut self, inbox: Inbox) {
+        std::thread::spawn(move || {
+            loop {
+                self.adopt_changes(&inbox);
+                self.write_changes();
+            }
+        });
+    }
 
-/// The file as it was before anybody could change what is wanted: what comes later is written, or read again.
-pub struct Kept {
-    owner: StoreIdentity,
-    path: PathBuf,
-    written: SuspendedWorkers,
-    seen: Option<Stamp>,
-}
+    /// Adopts what another process has written.
+    fn adopt_changes(&mut self, inbox: &Inbox) {
+        let stamp = FileStamp::of(&self.path);
+        if stamp == self.stamp {
+            return;
+        }
+        self.stamp = stamp;
+        let Some(saved) = self.read() else { return };
+        self.written = saved.clone();
+        self.suspensions.mark_saved(saved.sequence);
+        let count = saved.ids.len();
+        if self.suspensions.adopt(saved) {
+            tracing::info!(name = %self.name, count, "adopted suspended workers from another process");
+            inbox.wake();
+        }
+    }
 
-/// Takes over what the process before left. To be called before the admin address opens.
-pub fn begin(owner: StoreIdentity, suspensions: &Suspensions) -> Kept {
-    let path = path(&owner.name);
-    // Before it is read: what is written in between is seen as a change.
-    let seen = stamp(&path);
-    if let Some(wanted) = read(&path, &owner) {
-        let many = wanted.ids.len();
-        tracing::info!("{}: {many} workers out by hand, as the process before left them", owner.name);
-        let sequence = wanted.sequence;
-        suspensions.adopt(wanted);
-        suspensions.mark_saved(sequence);
+    /// Waits a little for a change, and writes it.
+    fn write_changes(&mut self) {
+        let current = self.suspensions.wait_for_change(self.written.sequence, POLL_INTERVAL);
+        if current.sequence <= self.written.sequence {
+            return;
+        }
+        match self.write(&current) {
+            Ok(()) => {
+                self.suspensions.mark_saved(current.sequence);
+                self.written = current;
+                self.stamp = FileStamp::of(&self.path);
+            }
+            Err(error) => {
+                let path = self.path.display();
+                tracing::warn!(name = %self.name, %path, reason = %error, "cannot write suspended workers");
+                self.suspensions.note_unsaved(error.to_string());
+                std::thread::sleep(POLL_INTERVAL);
+            }
+        }
     }
-    Kept { owner, path, written: suspensions.workers(), seen }
-}
 
-/// Keeps the file and what is wanted alike for as long as the process lives.
-pub fn keep(kept: Kept, suspensions: Arc<Suspensions>, inbox: Inbox) {
-    let Kept { owner, path, mut written, mut seen } = kept;
-    std::thread::spawn(move || {
-        loop {
-            let now = stamp(&path);
-            if now != seen {
-                seen = now;
-                if let Some(other) = read(&path, &owner) {
-                    written = other.clone();
-                    suspensions.mark_saved(other.sequence);
-                    if suspensions.adopt(other) {
-                        tracing::info!("{}: workers out by hand as another process left them", owner.name);
-                        inbox.wake();
-                    }
-                }
+    /// Reads the file; one that cannot be read or trusted is logged and ignored.
+    fn read(&self) -> Option<SuspendedWorkers> {
+        let name = &self.name;
+        let path = self.path.display();
+        let bytes = match std::fs::read(&self.path) {
+            Ok(bytes) => bytes,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return None,
+            Err(error) => {
+                tracing::warn!(%name, %path, reason = %error, "cannot read suspended workers, ignoring the file");
+                return None;
             }
-            let wanted = suspensions.wait_for_change(written.sequence, LOOK);
-            if wanted.sequence <= written.sequence {
-                continue;
+        };
+        match SuspensionFile::decode(&bytes, &self.site, name, now_ms()) {
+            Ok(file) => {
+                let ids = file.workers.into_iter().collect();
+                Some(SuspendedWorkers { ids, sequence: file.seq })
             }
-            match write(&path, &owner, &wanted) {
-                Ok(()) => {
-                    suspensions.mark_saved(wanted.sequence);
-                    (written, seen) = (wanted, stamp(&path));
-                }
-                Err(why) => {
-                    tracing::warn!("{}: {} cannot be written: {why}", owner.name, path.display());
-                    suspensions.note_unsaved(why.to_string());
-                    std::thread::sleep(LOOK);
-                }
+            Err(error) => {
+                tracing::warn!(%name, %path, reason = %error, "invalid file of suspended workers ignored");
+                None
             }
         }
-    });
+    }
+
+    /// Writes a new file, puts it in the place of the old one, and makes sure that both outlast a crash.
+    fn write(&self, workers: &SuspendedWorkers) -> io::Result<()> {
+        let content = SuspensionFile {
+            site: self.site.clone(),
+            name: self.name.clone(),
+            seq: workers.sequence,
+            written_ms: now_ms(),
+            workers: workers.ids.iter().cloned().collect(),
+        };
+        let new_path = self.path.with_extension(format!("new-{}", std::process::id()));
+        let mut file = File::create(&new_path)?;
+        file.write_all(&content.encode())?;
+        file.sync_all()?;
+        std::fs::rename(&new_path, &self.path)?;
+        match self.path.parent() {
+            Some(directory) => File::open(directory)?.sync_all(),
+            None => Ok(()),
+        }
+    }
+}
+
+impl FileStamp {
+    fn of(path: &Path) -> Option<FileStamp> {
+        let metadata = std::fs::metadata(path).ok()?;
+        let modified = metadata.modified().ok()?;
+        Some(FileStamp { inode: metadata.ino(), modified, bytes: metadata.len() })
+    }
 }
 
-/// What tells that the file changed: each write makes another file, whatever the wall clock says of it.
-type Stamp = (u64, SystemTime, u64);
+fn file_path(name: &str) -> PathBuf {
+    let replace = |character: char| if character.is_ascii_alphanumeric() { character } else { '_' };
+    let name: String = name.chars().map(replace).collect();
+    std::env::temp_dir().join(format!("roselock-{name}.suspended"))
+}
 
-fn stamp(path: &Path) -> Option<Stamp> {
-    let meta = std::fs::metadata(path).ok()?;
-    Some((meta.ino(), meta.modified().ok()?, meta.len()))
+/// Milliseconds since the Unix epoch.
+fn now_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,10 +1,19 @@
-//! The dispatcher on real sockets: what is spoken on the wire, what is kept in memory, start and stop.
+//! The dispatcher on real sockets: the protocols, the owner of the decisions, start and stop.
 
 mod cli;
 mod core;
 mod lifecycle;
 mod wire;
 
-fn main() -> std::process::ExitCode {
-    cli::run(argh::from_env())
+use lifecycle::error_chain::ErrorChain;
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    match cli::run(argh::from_env()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("roselock: {}", ErrorChain(&error));
+            ExitCode::FAILURE
+        }
+    }
 }
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -100,9 +100,12 @@
 }
 
 /// Starts the exporter.
-pub fn start(file: &File, site: &Site) -> Result<Box<dyn FlowSink>, String> {
+///
+/// # Errors
+/// Its socket cannot be opened.
+pub fn start(file: &File, site: &Site) -> std::io::Result<Box<dyn FlowSink>> {
     let any = if file.collector.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-    let socket = UdpSocket::bind(any).map_err(|e| format!("cannot export flows: {e}"))?;
+    let socket = UdpSocket::bind(any)?;
     let (records, queue) = channel();
     let counts = Arc::new(Counts::default());
     let exporter = Exporter {
