--- a/dispatcher/src/core/downstream.rs
+++ b/dispatcher/src/core/downstream.rs
@@ -145,7 +145,7 @@
     /// Bytes of the result.
     pub sent: usize,
     /// How it finished.
-    pub finish: StreamOutcome,
+    pub outcome: StreamOutcome,
 }
 
 /// Records finished streams. Never waits.
--- a/dispatcher/src/core/event_loop/deadlines.rs
+++ b/dispatcher/src/core/event_loop/deadlines.rs
@@ -61,3 +61,7 @@
         self.fleets[fleet].events.push(Event::ClientDisconnected(JobId(id)));
     }
 }
+
+#[cfg(test)]
+#[path = "deadlines_tests.rs"]
+mod tests;
--- a/dispatcher/src/core/event_loop/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -14,9 +14,9 @@
 use std::collections::BTreeSet;
 
 /// Most attempts that wait for one host; one more is not sent, and the decisions place it anew.
-const MAX_QUEUED: usize = 16;
+const MAX_QUEUED_ATTEMPTS: usize = 16;
 /// Longest time that an attempt waits, in microseconds.
-const MAX_WAIT: Micros = 500_000;
+const MAX_QUEUE_TIME: Micros = 500_000;
 /// A dial for which there is no file descriptor is tried again after this time, in microseconds.
 const NO_CAPACITY_RETRY: Micros = 20_000;
 /// An attempt leaves the dial queue this many ticks before its deadline: the decisions place it anew while there is time
@@ -57,7 +57,7 @@
         let host = fleet.hosts.get(&id.worker).filter(|host| !host.preconnecting)?;
         let first = host.dial_queue.front()?;
         let limits = fleet.dial_limits?;
-        if fleet.has_dial_capacity(&first.ask) {
+        if fleet.has_dial_capacity(&first.kind) {
             Some(host.dial_limiter.next_dial_at(limits, now))
         } else {
             // Tried again with the next input, or after a while.
@@ -74,11 +74,11 @@
         let host_id = pending.host;
         let fleet = &mut self.fleets[host_id.fleet];
         let host = fleet.hosts.get_mut(&host_id.worker)?;
-        if host.dial_queue.len() >= MAX_QUEUED {
+        if host.dial_queue.len() >= MAX_QUEUED_ATTEMPTS {
             return None;
         }
         let latest = request.deadline - TICKS_BEFORE_DEADLINE * fleet.settings.tick;
-        let leaves_at = (clock::now() + MAX_WAIT).min(latest);
+        let leaves_at = (clock::now() + MAX_QUEUE_TIME).min(latest);
         self.deadlines.add(leaves_at, Deadline::DialQueue(request.id));
         host.dial_queue.push_back(request);
         self.dial_queues.hosts.insert(host_id);
@@ -135,7 +135,7 @@
     pub(super) fn serve_dial_queues(&mut self, now: Micros) {
         let hosts: Vec<HostId> = self.dial_queues.hosts().collect();
         for host_id in hosts {
-            for _ in 0..MAX_QUEUED {
+            for _ in 0..MAX_QUEUED_ATTEMPTS {
                 if self.next_dial_at(host_id).is_none_or(|at| at > now) {
                     break;
                 }
@@ -220,14 +220,14 @@
         let Some(pending) = self.upstreams.get_mut(id) else { return false };
         let Some(stream) = self.streams.get_unanswered(pending.stream) else { return false };
         let Some(host) = self.fleets.host_mut(pending.host) else { return false };
-        if host.dial_queue.len() >= MAX_QUEUED {
+        if host.dial_queue.len() >= MAX_QUEUED_ATTEMPTS {
             return false;
         }
         pending.in_dial_queue = true;
-        self.deadlines.add(clock::now() + MAX_WAIT, Deadline::DialQueue(id));
+        self.deadlines.add(clock::now() + MAX_QUEUE_TIME, Deadline::DialQueue(id));
         host.dial_queue.push_front(UpstreamRequest {
             id,
-            ask: RequestKind::Run(stream.payload.clone()),
+            kind: RequestKind::Run(stream.payload.clone()),
             // Set when it dials.
             connect_by: 0,
             begin_by: stream.begin_by,
--- a/dispatcher/src/core/event_loop/inputs.rs
+++ b/dispatcher/src/core/event_loop/inputs.rs
@@ -10,7 +10,7 @@
     pub fn handle(&mut self, input: Input) {
         match input {
             Input::StreamArrived(new) => {
-                self.inbox.accepted();
+                self.inbox.stream_received();
                 self.admit_stream(*new);
             }
             Input::ClientDisconnected(id) => self.disconnect_client(id),
@@ -43,7 +43,7 @@
                 }
             }
             // Both only wake the owner: job sources are polled, and the shutdown is known from the inbox.
-            Input::Feed | Input::ShutdownRequested => {}
+            Input::JobsAvailable | Input::ShutdownRequested => {}
         }
     }
 
--- a/dispatcher/src/core/event_loop/recent_job_ids.rs
+++ b/dispatcher/src/core/event_loop/recent_job_ids.rs
@@ -43,3 +43,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "recent_job_ids_tests.rs"]
+mod tests;
--- a/dispatcher/src/core/event_loop/request_start.rs
+++ b/dispatcher/src/core/event_loop/request_start.rs
@@ -32,12 +32,12 @@
             let reused_idle = Some(now - idle.idle_since);
             return self.start_on(idle.connection, PendingRequest { reused_idle, ..pending }, request);
         }
-        if !self.fleets[pending.host.fleet].has_dial_capacity(&request.ask) {
+        if !self.fleets[pending.host.fleet].has_dial_capacity(&request.kind) {
             // All file descriptors are in use: closing an idle connection makes one available for the next attempt.
             self.close_oldest_idle_connection(pending.host.fleet);
             return None;
         }
-        let is_preconnect = matches!(request.ask, RequestKind::Preconnect);
+        let is_preconnect = matches!(request.kind, RequestKind::Preconnect);
         if is_preconnect || self.may_dial(&pending, &request, connection_use, now) {
             return self.dial(address, pending, request);
         }
@@ -59,7 +59,7 @@
         let stream = self.streams.get(pending.stream).filter(|_| is_attempt);
         UpstreamRequest {
             id: self.upstreams.next_id(),
-            ask: kind,
+            kind,
             connect_by: now + self.fleets[pending.host.fleet].settings.limits.connect_timeout,
             begin_by: stream.map_or(Micros::MAX, |stream| stream.begin_by),
             deadline,
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -123,7 +123,7 @@
             upstream: stream.last_upstream,
             received: stream.payload.body.len(),
             sent: bytes_sent,
-            finish: outcome,
+            outcome,
         });
     }
 }
--- a/dispatcher/src/core/event_loop/unsent_withdrawals.rs
+++ b/dispatcher/src/core/event_loop/unsent_withdrawals.rs
@@ -64,3 +64,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "unsent_withdrawals_tests.rs"]
+mod tests;
--- a/dispatcher/src/core/inbox.rs
+++ b/dispatcher/src/core/inbox.rs
@@ -52,7 +52,7 @@
     }
     /// Wakes the owner, if the queue has capacity: if it has none, the owner is awake anyway. Never waits.
     pub fn wake(&self) {
-        let _ = self.queue.try_send(Input::Feed);
+        let _ = self.queue.try_send(Input::JobsAvailable);
     }
 
     /// Requests a graceful shutdown; the first request counts.
@@ -105,7 +105,7 @@
         true
     }
     /// The owner has received a stream that was posted.
-    pub fn accepted(&self) {
+    pub fn stream_received(&self) {
         let one_less = |submitted: u64| submitted.checked_sub(1);
         let _ = self.shared.submitted.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_less);
     }
--- a/dispatcher/src/core/messages.rs
+++ b/dispatcher/src/core/messages.rs
@@ -141,7 +141,7 @@
         seed: u64,
     },
     /// A [`JobSource`](super::JobSource) may have a job.
-    Feed,
+    JobsAvailable,
     /// The watch on the endpoint list, or an attempt to open one, ended.
     WatchEnded {
         /// The fleet.
--- a/dispatcher/src/core/upstream.rs
+++ b/dispatcher/src/core/upstream.rs
@@ -24,7 +24,7 @@
     /// Its number.
     pub id: UpstreamId,
     /// What it asks for.
-    pub ask: RequestKind,
+    pub kind: RequestKind,
     /// When opening a new connection for it times out.
     pub connect_by: Micros,
     /// From this time on it must not be written any more: the hosts no longer recognize it as a repeated request.
@@ -63,7 +63,7 @@
     fn dial(&self, endpoint: SocketAddr, request: UpstreamRequest) -> Arc<dyn UpstreamConnection>;
     /// Whether a further connection may be opened for such a request. Some are reserved for withdrawals, since a host
     /// otherwise goes on with work that nobody waits for.
-    fn has_capacity(&self, ask: &RequestKind) -> bool;
+    fn has_capacity(&self, kind: &RequestKind) -> bool;
     /// Opens a watch on the endpoint list, or polls it.
     fn watch_endpoints(&self);
 }
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -151,7 +151,7 @@
 
     fn wake_owner(&self, nudge: bool) {
         if nudge {
-            self.inbox.post(Input::Feed);
+            self.inbox.post(Input::JobsAvailable);
         }
     }
 
--- a/dispatcher/src/wire/gearman/worker.rs
+++ b/dispatcher/src/wire/gearman/worker.rs
@@ -255,7 +255,7 @@
         request: UpstreamRequest,
         function: usize,
     ) -> Option<Vec<u8>> {
-        let RequestKind::Run(payload) = request.ask else { return None };
+        let RequestKind::Run(payload) = request.kind else { return None };
         let held = Held { id: request.id, function, payload, grabbed: 0 };
         let by = clock::now() + front.figures.grab;
         match self.change(front, |w| w.choose(function, held, by)) {
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -181,7 +181,7 @@
         name.iter_mut().zip(class.bytes()).for_each(|(to, byte)| *to = byte);
         let (from, to) = (flow.downstream, flow.upstream);
         let v4 = from.is_ipv4() && to.is_none_or(|t| t.is_ipv4());
-        let (finish, reason): (u16, u8) = match flow.finish {
+        let (finish, reason): (u16, u8) = match flow.outcome {
             StreamOutcome::Served => (200, 3),
             StreamOutcome::Rejected => (503, 5),
             StreamOutcome::Failed => (500, 3),
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -126,7 +126,7 @@
 
     /// One upstream request, from its first byte to the host's answer.
     fn exchange(&mut self, request: &UpstreamRequest) -> (UpstreamEvent, ConnectionState) {
-        let unsent = |outcome| match request.ask {
+        let unsent = |outcome| match request.kind {
             RequestKind::Run(_) => {
                 UpstreamEvent::Ended { outcome, report: LoadReport::default(), body: Vec::new() }
             }
@@ -136,7 +136,7 @@
             RequestKind::Withdraw(_) => UpstreamEvent::Ignored,
             RequestKind::Preconnect => UpstreamEvent::ConnectionLost,
         };
-        let broken = match request.ask {
+        let broken = match request.kind {
             RequestKind::Run(_) => UpstreamEvent::Ended {
                 outcome: Outcome::Reset,
                 report: LoadReport::default(),
@@ -168,7 +168,7 @@
         let Some((socket, reader)) = &mut self.reader else {
             return (UpstreamEvent::Ignored, ConnectionState::Closed);
         };
-        if matches!(request.ask, RequestKind::Preconnect) {
+        if matches!(request.kind, RequestKind::Preconnect) {
             return match reader.response(by(IMMEDIATE_CLOSE)) {
                 Err(HttpError::Late) => (UpstreamEvent::Ignored, ConnectionState::Free),
                 _ => (UpstreamEvent::ConnectionRejected { request_written: false }, ConnectionState::Closed),
@@ -192,7 +192,7 @@
         match reader.response(request.deadline) {
             Ok(answer) => {
                 let close = answer.close || !reader.is_empty();
-                let heard = heard(&request.ask, &answer, &self.site);
+                let heard = heard(&request.kind, &answer, &self.site);
                 (heard, if close { ConnectionState::Closed } else { ConnectionState::Free })
             }
             // The owner ends the attempt at its deadline; till then no word is no outcome.
@@ -266,7 +266,7 @@
     request: &UpstreamRequest,
 ) -> std::io::Result<()> {
     let host = format!(" HTTP/1.1\r\nHost: {endpoint}\r\n");
-    let parts = match &request.ask {
+    let parts = match &request.kind {
         RequestKind::Run(payload) => return write_run(socket, state, &host, payload, request.deadline),
         RequestKind::Withdraw(payload) => {
             let id = payload.id().as_bytes();
