--- a/adapter/src/instances.rs
+++ b/adapter/src/instances.rs
@@ -31,7 +31,7 @@
 
 impl Instances {
     /// Applies one line of input and writes the reply, with the end of its line, in place of what `reply` held. After an
-    /// error, `reply` holds no whole reply.
+    /// error, `reply` holds no complete reply.
     pub fn answer(&mut self, line: &str, reply: &mut String) -> Result<(), BatchError> {
         let batch: wire::Batch = serde_json::from_str(line)?;
         let now = micros(batch.clock);
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,5 @@
 //! The messages of the simulator's wire as they stand on a line. Names of types and fields mirror the wire's own words; names
-//! of things are text, times are in seconds. An event is a JSON array, its values are told apart by position.
+//! of things are text, times are in seconds. An event is a JSON array, its values are distinguished by position.
 
 use roselock::settings::{Options, WorkerReport};
 use serde::Deserialize;
@@ -90,12 +90,14 @@
     fn need<T: Deserialize<'de>>(&mut self, what: &str) -> Result<T, A::Error> {
         self.get()?.ok_or_else(|| A::Error::custom(format_args!("{what} is missing")))
     }
+    /// Skips values that the dispatcher has no use for.
     fn skip(&mut self, count: usize) -> Result<(), A::Error> {
         for _ in 0..count {
             self.0.next_element::<IgnoredAny>()?;
         }
         Ok(())
     }
+    /// Skips all values that are left.
     fn skip_rest(mut self) -> Result<(), A::Error> {
         while self.0.next_element::<IgnoredAny>()?.is_some() {}
         Ok(())
@@ -141,61 +143,70 @@
 
 fn read_event<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
     let name: Name = values.need("the event's name")?;
-    Ok(match &*name.0 {
-        "attach" => Event::Attach { seed: values.need("seed")?, options: values.need("options")? },
+    match &*name.0 {
+        "attach" => Ok(Event::Attach { seed: values.need("seed")?, options: values.need("options")? }),
         "fleet" => {
             values.skip(1)?;
-            Event::Fleet { mode: values.need("mode")?, hosts: values.or_default()? }
+            Ok(Event::Fleet { mode: values.need("mode")?, hosts: values.or_default()? })
         }
-        "jobIn" => {
-            let rid = values.need("rid")?;
-            let memory = values.or_default()?;
-            values.skip(2)?;
-            Event::JobIn(JobIn {
-                rid,
-                memory,
-                hint: values.get()?,
-                service: values.need("service")?,
-                slots: values.get()?.unwrap_or(1.0),
-                team: values.or_default()?,
-                key: values.or_default()?,
-                budget: values.need("budgetS")?,
-            })
-        }
-        "down" => Event::Down,
-        "health" => {
-            values.skip(1)?;
-            Event::Health {
-                verdict: values.or_default()?,
-                worker: values.need("worker")?,
-                gauge: values.or_default()?,
-            }
-        }
-        "notice" => {
-            let rid = values.need("rid")?;
-            let round = values.need("roundNo")?;
-            values.skip(1)?;
-            Event::Notice { rid, round, what: values.or_default()?, amount: values.or_default()? }
-        }
-        "alarm" => Event::Alarm { nonce: values.need("nonce")? },
-        "cancelledByClient" => Event::Cancelled { rid: values.need("rid")? },
-        "datagram" => Event::Datagram,
-        "verdict" => {
-            let rid = values.need("rid")?;
-            let round = values.need("roundNo")?;
-            values.skip(1)?;
-            let verdict = values.need("verdict")?;
-            values.skip(1)?;
-            let last = values.or_default()?;
-            values.skip(1)?;
-            Event::Verdict { rid, round, verdict, last, gauge: values.or_default()? }
-        }
-        "accepted" => Event::Accepted { rid: values.need("rid")?, round: values.need("roundNo")? },
-        other => return Err(A::Error::custom(format_args!("unknown event {other:?}"))),
-    })
+        "jobIn" => read_job_in(values),
+        "down" => Ok(Event::Down),
+        "health" => read_health(values),
+        "notice" => read_notice(values),
+        "alarm" => Ok(Event::Alarm { nonce: values.need("nonce")? }),
+        "cancelledByClient" => Ok(Event::Cancelled { rid: values.need("rid")? }),
+        "datagram" => Ok(Event::Datagram),
+        "verdict" => read_verdict(values),
+        "accepted" => Ok(Event::Accepted { rid: values.need("rid")?, round: values.need("roundNo")? }),
+        other => Err(A::Error::custom(format_args!("unknown event {other:?}"))),
+    }
 }
+
 from_array!(Event, "an event", read_event);
 
+fn read_job_in<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
+    let rid = values.need("rid")?;
+    let memory = values.or_default()?;
+    values.skip(2)?;
+    Ok(Event::JobIn(JobIn {
+        rid,
+        memory,
+        hint: values.get()?,
+        service: values.need("service")?,
+        slots: values.get()?.unwrap_or(1.0),
+        team: values.or_default()?,
+        key: values.or_default()?,
+        budget: values.need("budgetS")?,
+    }))
+}
+
+fn read_health<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
+    values.skip(1)?;
+    Ok(Event::Health {
+        verdict: values.or_default()?,
+        worker: values.need("worker")?,
+        gauge: values.or_default()?,
+    })
+}
+
+fn read_notice<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
+    let rid = values.need("rid")?;
+    let round = values.need("roundNo")?;
+    values.skip(1)?;
+    Ok(Event::Notice { rid, round, what: values.or_default()?, amount: values.or_default()? })
+}
+
+fn read_verdict<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
+    let rid = values.need("rid")?;
+    let round = values.need("roundNo")?;
+    values.skip(1)?;
+    let verdict = values.need("verdict")?;
+    values.skip(1)?;
+    let last = values.or_default()?;
+    values.skip(1)?;
+    Ok(Event::Verdict { rid, round, verdict, last, gauge: values.or_default()? })
+}
+
 /// The events of one instance, in order.
 #[derive(Debug, Deserialize)]
 pub struct Group<'a> {
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -14,7 +14,7 @@
     pub deferred: AtomicU64,
     /// Requests failed: any other final answer that is not a worker's result.
     pub errored: AtomicU64,
-    /// Attempts that were written to workers as a whole.
+    /// Attempts that were written completely to workers.
     pub sends: AtomicU64,
 }
 
@@ -126,7 +126,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an attempt that was written to a worker as a whole. `class` is the request's class id.
+    /// Counts an attempt that was written completely to a worker. `class` is the request's class id.
     pub fn attempt_sent(&self, class: usize) {
         if let Some(class) = self.classes.get(class) {
             class.sends.fetch_add(1, Ordering::Relaxed);
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -102,7 +102,7 @@
         update: AttemptUpdate,
     },
     /// The worker of an attempt that is about to end may still report on it, by a callback that is late or repeated, and such
-    /// a report could not be told from one on another attempt of the request there. Comes before the attempt's
+    /// a report could not be distinguished from one on another attempt of the request there. Comes before the attempt's
     /// [`Event::AttemptEnded`].
     LateReportPossible {
         /// The request.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,6 +1,6 @@
 //! The interface of the decision module: settings, events in, actions out. Nothing here decides anything.
 //!
-//! Times are whole microseconds ([`Micros`]) on the caller's clock, which may start anywhere but never runs backwards.
+//! Times are microseconds ([`Micros`]) on the caller's clock, which may start anywhere but never runs backwards.
 //! Work is in seconds on a core of speed 1.
 //!
 //! The caller owes the dispatcher exactly one [`Event::AttemptEnded`] for each [`Action::Send`], cancelled or not, and one
