--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -5,8 +5,9 @@
 use crate::state::capacity::DEFAULT_CAPACITY;
 use crate::state::placement::WARMING_UP;
 use crate::state::prices::ResourceTimeline;
+use crate::state::resources::{RESOURCES, SLOT};
 use crate::state::timers::POLL_TOKEN;
-use crate::state::workers::{InitialEstimates, RESOURCES, SLOT, Worker};
+use crate::state::workers::{InitialEstimates, Worker};
 use std::collections::BTreeSet;
 
 impl Dispatcher {
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -7,7 +7,11 @@
 mod admission;
 mod candidates;
 mod endpoint_list;
+mod final_answers;
+mod load_shedding;
+mod migration;
 mod outliers;
+mod overdue;
 mod payoff;
 mod price_updates;
 mod progress;
@@ -16,3 +20,4 @@
 mod send;
 mod send_guard;
 mod slow_start;
+mod snapshots;
--- a/src/decisions/outliers.rs
+++ b/src/decisions/outliers.rs
@@ -2,7 +2,8 @@
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
-use crate::state::workers::{SLOT, Worker};
+use crate::state::resources::SLOT;
+use crate::state::workers::Worker;
 
 /// Failures of workers within this span, in microseconds, are one event.
 const CORRELATED_FAILURE_WINDOW: Micros = SECOND / 2;
--- a/src/decisions/price_updates.rs
+++ b/src/decisions/price_updates.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::state::prices::{GradientStep, HORIZON, ResourceTimeline, add_column};
-use crate::state::workers::RESOURCES;
+use crate::state::resources::RESOURCES;
 use std::collections::BTreeSet;
 
 /// Columns sampled for each step.
--- a/src/decisions/price_updates_tests.rs
+++ b/src/decisions/price_updates_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::state::prices::HORIZON;
-use crate::state::workers::{MEMORY, SLOT};
+use crate::state::resources::{MEMORY, SLOT};
 use crate::test_support::*;
 
 #[test]
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -1,11 +1,11 @@
 //! The release pass: ranks the margins of waiting jobs, and sends those with the highest positive ones.
 
-use super::candidates::TRIAL_BELOW;
+use super::snapshots::TRIAL_BELOW;
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::Job;
 use crate::state::prices::HistoryColumn;
-use crate::state::workers::{RESOURCES, SLOT};
+use crate::state::resources::{RESOURCES, SLOT};
 use std::collections::BTreeSet;
 
 /// The newest waiting jobs that one pass looks at: in an overload older ones are late.
--- a/src/decisions/release_tests.rs
+++ b/src/decisions/release_tests.rs
@@ -2,8 +2,8 @@
 
 use crate::api::*;
 use crate::state::capacity::CapacityEstimate;
+use crate::state::resources::SLOT;
 use crate::state::timers::TICK_TOKEN;
-use crate::state::workers::SLOT;
 use crate::test_support::*;
 
 #[test]
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -2,8 +2,7 @@
 
 use crate::api::*;
 use crate::dispatcher::{AttemptResult, Dispatcher};
-use crate::state::jobs::TenantClass;
-use crate::state::run_times::RunTimeSample;
+use crate::state::jobs::{RunTimeSample, TenantClass};
 
 /// How long a worker that rejected a class beside free slots is taken to reject it, in microseconds.
 const CLASS_REJECTION_TTL: Micros = 10 * SECOND;
@@ -60,18 +59,21 @@
         let attempt = job.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         attempt.never_ran = result.outcome.never_ran(self.settings.safety.rejection_may_have_run);
-        let worker = &mut self.workers[attempt.worker];
-        // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
+        let counts_as_running = attempt.started_at.is_some() || !self.settings.reports_start;
+        let freed = std::mem::take(&mut attempt.booked).then_some(job.need);
+        let job = &*job;
+        let attempt = &job.attempts[number as usize];
         let ran = matches!(result.outcome, Outcome::Ok | Outcome::Error);
+        let worker = &mut self.workers[attempt.worker];
+        worker.changed = true;
+        worker.timing.attempt_ended();
         if ran {
             worker.apply_report(result.report, now);
         }
-        let counts_as_running = attempt.started_at.is_some() || !self.settings.reports_start;
-        worker.changed = true;
-        worker.timing.attempt_ended();
-        if std::mem::take(&mut attempt.booked) {
-            worker.bookings.book(job.need, -1.0, counts_as_running, now);
+        if let Some(need) = freed {
+            worker.bookings.book(need, -1.0, counts_as_running, now);
         }
+        // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
         if !ran {
             worker.apply_report(result.report, now);
         }
@@ -83,13 +85,7 @@
             worker.connections.idle_since.push(now);
         }
         worker.connections.may_be_open = true;
-        let run = RunTimeSample {
-            class: job.class,
-            work: job.work,
-            hinted: job.hinted,
-            run_time: elapsed as f64,
-            weight: 1.0,
-        };
+        let run = job.run_time_sample(elapsed as f64, 1.0);
         Some(EndedAttempt {
             worker: attempt.worker,
             tenant_class: job.tenant_class,
--- a/src/decisions/send.rs
+++ b/src/decisions/send.rs
@@ -3,9 +3,10 @@
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
-use crate::state::jobs::{Attempt, Job};
+use crate::state::jobs::Attempt;
+use crate::state::resources::{RESOURCES, SLOT};
 use crate::state::timers::MIGRATION_TOKEN;
-use crate::state::workers::{RESOURCES, SLOT, Worker};
+use crate::state::workers::Worker;
 
 /// Microseconds that a worker may take to accept a new connection, beside the way.
 const CONNECT_ALLOWANCE: Micros = SECOND / 100;
@@ -65,50 +66,6 @@
         let connect = if is_new_connection { CONNECT_ALLOWANCE } else { 0 };
         (quickest * starts) as Micros + 2 * self.settings.tick + connect
     }
-
-    /// Whether an attempt of the job may be withdrawn before its start: where others fill workers unseen by
-    /// us.
-    pub(crate) fn may_migrate(&self, job: &Job) -> bool {
-        let limits = &self.settings.limits;
-        limits.cancel
-            && !limits.hedged_requests
-            && self.settings.reports_start
-            && self.settings.fleet_size > 1
-            && job.idempotency == Idempotency::Idempotent
-            && job.attempts.len() < limits.max_attempts as usize
-    }
-
-    /// Load reports are old, and all dispatchers act on them: a job that may be repeated does not wait long
-    /// at a full worker.
-    pub(crate) fn withdraw_stalled(&mut self, out: &mut Vec<Action>) {
-        let mut stalled = Vec::new();
-        for (id, job) in &self.jobs.by_id {
-            if self.is_stalled(job) {
-                stalled.push(*id);
-            }
-        }
-        for id in stalled {
-            let Some(job) = self.jobs.get_mut(id) else { continue };
-            let number = job.attempts.len() - 1;
-            let attempt = &mut job.attempts[number];
-            attempt.withdrawn = true;
-            let worker = &mut self.workers[attempt.worker];
-            worker.infer_slots(attempt.booked_before, false, self.now);
-            worker.changed = true;
-            out.push(Action::Cancel { job: id, attempt: number as u32 });
-        }
-    }
-
-    /// Whether the latest attempt has passed its start timeout, and another worker is left to go to.
-    fn is_stalled(&self, job: &Job) -> bool {
-        let Some(latest) = job.attempts.last() else { return false };
-        let is_unstarted = latest.holds_booking() && latest.started_at.is_none() && !latest.withdrawn;
-        if job.ended || !is_unstarted || self.now - latest.sent_at < latest.start_timeout {
-            return false;
-        }
-        let was_tried = |worker: usize| job.attempts.iter().any(|attempt| attempt.worker == worker);
-        self.may_migrate(job) && self.placement.hash_ring.iter().any(|entry| !was_tried(entry.worker))
-    }
 }
 
 /// Takes a job's need off the free capacity that the present pass sees.
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -3,8 +3,9 @@
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::Job;
+use crate::state::resources::SLOT;
 use crate::state::sequence::mix_bits;
-use crate::state::workers::{SLOT, Worker};
+use crate::state::workers::Worker;
 
 /// Part of the budget that is used, since the capacity behind it is a guess.
 const BUDGET_USED: f64 = 0.7;
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -12,7 +12,7 @@
 use crate::state::workers::Worker;
 use std::collections::BTreeMap;
 
-/// One scheduler's decisions. Feed it every event through [`Dispatcher::step`].
+/// One dispatcher's decisions. Feed it every event through [`Dispatcher::step`].
 pub struct Dispatcher {
     pub(crate) settings: Settings,
     pub(crate) rng: oorandom::Rand64,
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -85,6 +85,11 @@
         }
     }
 
+    /// A run time of the job in microseconds.
+    pub(crate) fn run_time_sample(&self, run_time: f64, weight: f64) -> RunTimeSample {
+        RunTimeSample { class: self.class, work: self.work, hinted: self.hinted, run_time, weight }
+    }
+
     /// The attempts that have not ended.
     pub(crate) fn in_flight(&self) -> impl DoubleEndedIterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.in_flight)
@@ -95,6 +100,18 @@
     }
 }
 
+/// A run time seen, in full or extrapolated from progress.
+pub(crate) struct RunTimeSample {
+    /// Index into the settings' classes.
+    pub(crate) class: usize,
+    /// Expected work in seconds at speed 1, and whether a hint says so.
+    pub(crate) work: f64,
+    pub(crate) hinted: bool,
+    /// In microseconds.
+    pub(crate) run_time: f64,
+    pub(crate) weight: f64,
+}
+
 /// All jobs that are not forgotten yet, and the order of those that wait for a send.
 #[derive(Default)]
 pub(crate) struct JobTable {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -8,6 +8,7 @@
 pub(crate) mod jobs;
 pub(crate) mod placement;
 pub(crate) mod prices;
+pub(crate) mod resources;
 pub(crate) mod run_times;
 pub(crate) mod sequence;
 pub(crate) mod timers;
--- a/src/state/prices.rs
+++ b/src/state/prices.rs
@@ -1,6 +1,6 @@
 //! Prices of slots and memory along the look-ahead, and the history of columns that they are learned from.
 
-use super::workers::{MEMORY, RESOURCES, SLOT};
+use super::resources::{MEMORY, RESOURCES, SLOT};
 use crate::api::Micros;
 use std::collections::VecDeque;
 
--- a/src/state/run_times.rs
+++ b/src/state/run_times.rs
@@ -1,6 +1,7 @@
 //! Run times: the work of each class and by how much workers run slower than speed 1.
 
 use super::estimates::{DecayingMean, LogNormalEstimate, RunningMean};
+use super::jobs::RunTimeSample;
 use super::workers::Worker;
 use crate::api::*;
 use std::collections::BTreeMap;
@@ -94,18 +95,6 @@
     }
 }
 
-/// A run time seen, in full or extrapolated from progress.
-pub(crate) struct RunTimeSample {
-    /// Index into the settings' classes.
-    pub(crate) class: usize,
-    /// Expected work in seconds at speed 1, and whether a hint says so.
-    pub(crate) work: f64,
-    pub(crate) hinted: bool,
-    /// In microseconds.
-    pub(crate) run_time: f64,
-    pub(crate) weight: f64,
-}
-
 /// By how much workers, kinds and the fleet run slower than speed 1, as log(run time / work).
 #[derive(Default)]
 pub(crate) struct SlowdownEstimates {
--- a/src/state/workers.rs
+++ b/src/state/workers.rs
@@ -5,16 +5,10 @@
 use super::health::Health;
 use super::jobs::TenantClass;
 use super::prices::{ResourceTimeline, WorkerPrices};
+use super::resources::{MEMORY, RESOURCES, SLOT};
 use crate::api::*;
 use std::collections::VecDeque;
 
-/// Index of the slots in a figure for each resource.
-pub(crate) const SLOT: usize = 0;
-/// Index of the memory in a figure for each resource.
-pub(crate) const MEMORY: usize = 1;
-/// The resources of a worker.
-pub(crate) const RESOURCES: [usize; 2] = [SLOT, MEMORY];
-
 /// Age, in microseconds, of a load report that comes with a delay.
 const DELAYED_REPORT_AGE: Micros = SECOND / 2;
 /// For how long it is remembered what ran, in microseconds.
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::Job;
 use crate::state::prices::{HORIZON, HistoryColumn};
-use crate::state::workers::SLOT;
+use crate::state::resources::SLOT;
 
 /// Settings with one class whose latency objective is 1 s and twice the work, with slow start.
 pub(crate) fn settings() -> Settings {
