--- a/src/decisions/migration.rs
+++ b/src/decisions/migration.rs
@@ -2,6 +2,7 @@
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
+use crate::state::capacity::StartEvidence;
 use crate::state::jobs::Job;
 
 impl Dispatcher {
@@ -32,7 +33,7 @@
             let attempt = &mut job.attempts[number];
             attempt.withdrawn = true;
             let worker = &mut self.workers[attempt.worker];
-            worker.infer_slots(attempt.booked_before, false, self.now);
+            worker.infer_slots(attempt.booked_before, StartEvidence::Delayed, self.now);
             worker.changed = true;
             out.push(Action::Cancel { job: id, attempt: number as u32 });
         }
--- a/src/decisions/overdue.rs
+++ b/src/decisions/overdue.rs
@@ -2,6 +2,7 @@
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
+use crate::state::capacity::StartEvidence;
 use crate::state::jobs::{Attempt, Job};
 use crate::state::workers::Worker;
 
@@ -55,7 +56,7 @@
                     };
                     if unstarted_for > 2 * self.prices.tick + timeout as Micros {
                         overdue.stuck.push(id);
-                        worker.infer_slots(attempt.booked_before, false, self.now);
+                        worker.infer_slots(attempt.booked_before, StartEvidence::Delayed, self.now);
                     }
                     continue;
                 };
--- a/src/decisions/payoff.rs
+++ b/src/decisions/payoff.rs
@@ -1,4 +1,4 @@
-//! Payoff: what starting a job on a worker now is worth, from the probabilities that its answer is of use.
+//! Payoff: the value of starting a job on a worker now, from the probabilities that its answer is of use.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
@@ -23,7 +23,7 @@
 /// Probability that a hinted job whose run would exceed its client's time is answered nevertheless.
 const LATE_HINTED_PROBABILITY: f64 = 0.1;
 
-/// What starting a job on a worker now is worth.
+/// The value of starting a job on a worker now.
 pub(crate) struct Payoff {
     /// In mean priority weights.
     pub(crate) value: f64,
--- a/src/decisions/progress.rs
+++ b/src/decisions/progress.rs
@@ -2,6 +2,7 @@
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
+use crate::state::capacity::StartEvidence;
 use crate::state::placement::START_DELAY_MEMORY;
 
 /// Weight of a run time extrapolated from progress, at the end of the run.
@@ -64,8 +65,9 @@
             let tier = &mut self.placement.start_delays[worker.locality_tier];
             tier.add(delay, 1.0, now, START_DELAY_MEMORY);
         }
-        let immediate = started.delay <= self.prices.tick / 8;
-        worker.infer_slots(started.booked_before, immediate, now);
+        let is_immediate = started.delay <= self.prices.tick / 8;
+        let evidence = if is_immediate { StartEvidence::Immediate } else { StartEvidence::Delayed };
+        worker.infer_slots(started.booked_before, evidence, now);
     }
 }
 
@@ -76,6 +78,6 @@
     /// Microseconds since the send.
     delay: Micros,
     booked_before: f64,
-    /// What the job holds, if this is the first word of its start and its booking counts.
+    /// What the job holds, if this is the first report of its start and its booking counts.
     newly_booked: Option<[f64; 2]>,
 }
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -122,8 +122,8 @@
         Some(Evaluation { margin, column, may_send })
     }
 
-    /// Whether a worker can start a job now and, as bookings only end, run it; hinted jobs that are still
-    /// worth something late may also queue for the next slot.
+    /// Whether a worker can start a job now and, as bookings only end, run it; hinted jobs that still earn
+    /// something late may also queue for the next slot.
     fn has_room(&self, index: usize, job: &Job) -> bool {
         let worker = &self.workers[index];
         if !self.has_capacity(index, job) || worker.rejects_class(job.tenant_class, self.now) {
@@ -145,8 +145,8 @@
 
     fn has_capacity(&self, index: usize, job: &Job) -> bool {
         let snapshot = &self.workers[index].snapshot;
-        let is_worth_late = self.settings.classes[job.class].late_answer_fraction > 0.0;
-        let may_queue = snapshot.may_queue && job.hinted && is_worth_late;
+        let earns_when_late = self.settings.classes[job.class].late_answer_fraction > 0.0;
+        let may_queue = snapshot.may_queue && job.hinted && earns_when_late;
         if may_queue && job.need[SLOT] <= snapshot.free[SLOT] + 1.0 {
             return true;
         }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -2,6 +2,7 @@
 
 use crate::api::*;
 use crate::dispatcher::{AttemptResult, Dispatcher};
+use crate::state::capacity::StartEvidence;
 use crate::state::jobs::{RunTimeSample, TenantClass};
 
 /// How long a worker that rejected a class beside free slots is taken to reject it, in microseconds.
@@ -71,7 +72,7 @@
             worker.apply_report(result.report, now);
         }
         if let Some(need) = freed {
-            worker.bookings.book(need, -1.0, counts_as_running, now);
+            worker.bookings.free(need, counts_as_running, now);
         }
         // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
         if !ran {
@@ -112,7 +113,7 @@
             Outcome::Rejected if result.report.free_slots.is_some_and(|free| free > MIN_FREE_SLOTS) => {
                 worker.reject_class(ended.tenant_class, now + CLASS_REJECTION_TTL);
             }
-            Outcome::Rejected => worker.infer_slots(ended.booked_before, false, now),
+            Outcome::Rejected => worker.infer_slots(ended.booked_before, StartEvidence::Delayed, now),
             Outcome::Reset => self.connection_reset(ended.worker, out),
             Outcome::ConnectFailed if ended.elapsed < self.settings.limits.connect_timeout / 2 => {
                 self.infer_restart(ended.worker);
--- a/src/decisions/send.rs
+++ b/src/decisions/send.rs
@@ -41,7 +41,7 @@
             ..Attempt::default()
         });
         let slow_start_work = job.work.max(self.work.classes[job.class].mean_work.mean);
-        worker.bookings.book(job.need, 1.0, !self.settings.reports_start, self.now);
+        worker.bookings.book(job.need, !self.settings.reports_start, self.now);
         reserve(worker, job.need);
         worker.connections.idle_since.pop();
         worker.connections.may_be_open = true;
--- a/src/state/capacity.rs
+++ b/src/state/capacity.rs
@@ -17,6 +17,15 @@
 /// Mean runs over which a mean without new reports drifts to the total.
 const DRIFT_RUNS: f64 = 4.0;
 
+/// What the start of a job, or the lack of one, shows of the free slots.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum StartEvidence {
+    /// The job started at once: there was a free slot.
+    Immediate,
+    /// The job started late, has not started when it should have, or was rejected: there was none.
+    Delayed,
+}
+
 /// Capacity for our own jobs in one resource of a worker: what we hold plus what is free.
 #[derive(Clone)]
 pub(crate) struct CapacityEstimate {
@@ -58,23 +67,23 @@
         self.reported = true;
     }
 
-    /// Learns from the start of a job, or from a rejection or the lack of a start (not `immediate`). Without
-    /// reports an immediate start at the limit raises the capacity and the others lower it.
+    /// Learns from the start of a job beside `booked_before` own slots. Without reports an immediate start at
+    /// the limit raises the capacity, and a delayed one lowers it.
     pub(crate) fn infer_from_start(
         &mut self,
         booked_before: f64,
-        immediate: bool,
+        evidence: StartEvidence,
         running: f64,
         now: Micros,
     ) {
         if self.reported {
-            if !immediate {
+            if evidence == StartEvidence::Delayed {
                 self.record(running, 0.0, now);
                 self.exhausted_at = Some(now);
             }
             return;
         }
-        if !immediate {
+        if evidence == StartEvidence::Delayed {
             self.latest = ((1.0 - SHRINK_GAIN) * self.latest + SHRINK_GAIN * booked_before).max(1.0);
         } else if booked_before + GROWTH_MARGIN > self.latest {
             self.latest += GROWTH;
--- a/src/state/discovery.rs
+++ b/src/state/discovery.rs
@@ -63,8 +63,8 @@
         Some(confirmed.unwrap_or(now))
     }
 
-    /// The lines of a list with suspended workers draining, whatever the list says; its word is kept for
-    /// later.
+    /// The lines of a list with suspended workers draining, whatever the list says; its state there is kept
+    /// for later.
     pub(crate) fn apply_suspensions(&mut self, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let mut applied = endpoints.to_vec();
         for endpoint in &mut applied {
--- a/src/state/workers.rs
+++ b/src/state/workers.rs
@@ -1,6 +1,6 @@
 //! Workers: what each holds of ours, its capacity, run times, connections and recent jobs.
 
-use super::capacity::CapacityEstimate;
+use super::capacity::{CapacityEstimate, StartEvidence};
 use super::estimates::DecayingMean;
 use super::health::Health;
 use super::jobs::TenantClass;
@@ -48,13 +48,24 @@
         next_change.map_or(self.running, |entry| entry.running)
     }
 
-    /// Books a job's need, or frees it with a `sign` of -1; `runs`: it counts as running.
-    pub(crate) fn book(&mut self, need: [f64; 2], sign: f64, runs: bool, now: Micros) {
+    /// Books a job's need; `runs`: it counts as running at once.
+    pub(crate) fn book(&mut self, need: [f64; 2], runs: bool, now: Micros) {
         self.record_running(now);
         for resource in RESOURCES {
-            self.booked[resource] = (self.booked[resource] + sign * need[resource]).max(0.0);
+            self.booked[resource] = (self.booked[resource] + need[resource]).max(0.0);
             if runs {
-                self.running[resource] = (self.running[resource] + sign * need[resource]).max(0.0);
+                self.running[resource] = (self.running[resource] + need[resource]).max(0.0);
+            }
+        }
+    }
+
+    /// Frees a job's need; `ran`: it counted as running.
+    pub(crate) fn free(&mut self, need: [f64; 2], ran: bool, now: Micros) {
+        self.record_running(now);
+        for resource in RESOURCES {
+            self.booked[resource] = (self.booked[resource] - need[resource]).max(0.0);
+            if ran {
+                self.running[resource] = (self.running[resource] - need[resource]).max(0.0);
             }
         }
     }
@@ -244,10 +255,10 @@
         self.changed = true;
     }
 
-    /// A job started, or did not (not `immediate`): what that says of the free slots.
-    pub(crate) fn infer_slots(&mut self, booked_before: f64, immediate: bool, now: Micros) {
+    /// Learns the free slots from the start of a job, or from the lack of one.
+    pub(crate) fn infer_slots(&mut self, booked_before: f64, evidence: StartEvidence, now: Micros) {
         let running = self.bookings.running[SLOT];
-        self.capacity[SLOT].infer_from_start(booked_before, immediate, running, now);
+        self.capacity[SLOT].infer_from_start(booked_before, evidence, running, now);
     }
 
     /// Learns the free slots from listed units that fall as it holds requests: the units when idle over 1 +
