--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -52,10 +52,11 @@
         probabilities.in_time.max(late_value) < least
     }
 
+    /// Whether the attempt could be cancelled before it runs, with nothing else waiting to be sent for the job.
     fn is_cancellable_before_start(&self, job: &Job, attempt: &Attempt) -> bool {
         let may_cancel = self.settings.limits.cancel && self.settings.reports_start;
-        let is_only_hope = !job.ended && !job.waiting;
-        may_cancel && is_only_hope && attempt.booked && attempt.started_at.is_none()
+        let relies_on_attempts = !job.ended && !job.waiting;
+        may_cancel && relies_on_attempts && attempt.booked && attempt.started_at.is_none()
     }
 
     /// Whether a waiting job may go to no ready worker, as each may still report on an earlier attempt.
