--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -52,7 +52,7 @@
         probabilities.in_time.max(late_value) < least
     }
 
-    /// Whether the attempt could be cancelled before it runs, with nothing else waiting to be sent for the job.
+    /// Whether the attempt could be cancelled before it runs, and the job has no other one waiting.
     fn is_cancellable_before_start(&self, job: &Job, attempt: &Attempt) -> bool {
         let may_cancel = self.settings.limits.cancel && self.settings.reports_start;
         let relies_on_attempts = !job.ended && !job.waiting;
