--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -2,8 +2,8 @@
 
 use crate::api::*;
 use crate::dispatcher::{AttemptResult, Dispatcher};
-use crate::state::jobs::TenantClass;
-use crate::state::run_times::RunTimeSample;
+use crate::state::capacity::StartEvidence;
+use crate::state::jobs::{RunTimeSample, TenantClass};
 
 /// How long a worker that rejected a class beside free slots is taken to reject it, in microseconds.
 const CLASS_REJECTION_TTL: Micros = 10 * SECOND;
@@ -60,18 +60,21 @@
         let attempt = job.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         attempt.never_ran = result.outcome.never_ran(self.settings.safety.rejection_may_have_run);
-        let worker = &mut self.workers[attempt.worker];
-        // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
+        let counts_as_running = attempt.started_at.is_some() || !self.settings.reports_start;
+        let freed = std::mem::take(&mut attempt.booked).then_some(job.need);
+        let job = &*job;
+        let attempt = &job.attempts[number as usize];
         let ran = matches!(result.outcome, Outcome::Ok | Outcome::Error);
+        let worker = &mut self.workers[attempt.worker];
+        worker.changed = true;
+        worker.timing.attempt_ended();
         if ran {
             worker.apply_report(result.report, now);
         }
-        let counts_as_running = attempt.started_at.is_some() || !self.settings.reports_start;
-        worker.changed = true;
-        worker.timing.attempt_ended();
-        if std::mem::take(&mut attempt.booked) {
-            worker.bookings.book(job.need, -1.0, counts_as_running, now);
+        if let Some(need) = freed {
+            worker.bookings.free(need, counts_as_running, now);
         }
+        // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
         if !ran {
             worker.apply_report(result.report, now);
         }
@@ -83,13 +86,7 @@
             worker.connections.idle_since.push(now);
         }
         worker.connections.may_be_open = true;
-        let run = RunTimeSample {
-            class: job.class,
-            work: job.work,
-            hinted: job.hinted,
-            run_time: elapsed as f64,
-            weight: 1.0,
-        };
+        let run = job.run_time_sample(elapsed as f64, 1.0);
         Some(EndedAttempt {
             worker: attempt.worker,
             tenant_class: job.tenant_class,
@@ -116,7 +113,7 @@
             Outcome::Rejected if result.report.free_slots.is_some_and(|free| free > MIN_FREE_SLOTS) => {
                 worker.reject_class(ended.tenant_class, now + CLASS_REJECTION_TTL);
             }
-            Outcome::Rejected => worker.infer_slots(ended.booked_before, false, now),
+            Outcome::Rejected => worker.infer_slots(ended.booked_before, StartEvidence::Delayed, now),
             Outcome::Reset => self.connection_reset(ended.worker, out),
             Outcome::ConnectFailed if ended.elapsed < self.settings.limits.connect_timeout / 2 => {
                 self.infer_restart(ended.worker);
