--- a/src/decisions/outliers.rs
+++ b/src/decisions/outliers.rs
@@ -19,7 +19,7 @@
             return;
         }
         if worker.health.ejection_backoff == 0 {
-            out.push(Action::Log { message: "in doubt", worker: worker.listed.worker });
+            out.push(Action::Log { message: "worker ejected", worker: worker.listed.worker });
         }
         worker.health.eject(self.now);
         worker.changed = true;
