--- a/dispatcher/src/cli.rs
+++ b/dispatcher/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::lifecycle::config::{self, Config, ConfigFiles};
+use crate::lifecycle::config::{self, Config, ConfigSources};
 use crate::lifecycle::error_chain::ErrorChain;
 use crate::lifecycle::load_error::LoadError;
 use crate::lifecycle::log_settings::{LogFormat, LogLevel};
@@ -51,7 +51,7 @@
         }
         impl $name {
             fn load(self) -> Result<Config, LoadError> {
-                config::load(ConfigFiles {
+                config::load(ConfigSources {
                     config: self.config,
                     gearman: self.gearman,
                     ipfix: self.ipfix,
--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -21,7 +21,7 @@
 /// A configuration that was checked.
 pub struct Config {
     /// The files it was read from, which are read again on SIGHUP.
-    pub files: ConfigFiles,
+    pub sources: ConfigSources,
     /// This dispatcher's name.
     pub name: String,
     /// Where clients and call-backs connect.
@@ -54,9 +54,9 @@
     pub ipfix: Option<ipfix::File>,
 }
 
-/// What the command line says of the configuration.
+/// Where the configuration is read from, and what the command line sets in its place.
 #[derive(Clone, Default)]
-pub struct ConfigFiles {
+pub struct ConfigSources {
     /// The node's configuration; else `$NODE_CONFIG` names it.
     pub config: Option<PathBuf>,
     /// Turns the Gearman front on.
@@ -75,12 +75,12 @@
 ///
 /// # Errors
 /// A file cannot be read or parsed, or a key is missing or has a value that is not allowed.
-pub fn load(files: ConfigFiles) -> Result<Config, LoadError> {
-    let mut node = NodeFile::read(files.config.clone())?;
+pub fn load(sources: ConfigSources) -> Result<Config, LoadError> {
+    let mut node = NodeFile::read(sources.config.clone())?;
     let mut site = node.take_site()?;
     let seed = node.seed()?;
     let limits = node.limits();
-    let parts = Parts::load(&files, limits, &site)?;
+    let parts = Parts::load(&sources, limits, &site)?;
     if let Some(list_call_time) = parts.start.list_call_time {
         site.settings.list_call_time = list_call_time;
     }
@@ -90,7 +90,7 @@
     let admin = node.admin()?;
     let (name, cached_list) = node.into_name_and_list();
     Ok(Config {
-        files,
+        sources,
         name,
         listen,
         discovery,
--- a/dispatcher/src/lifecycle/config/parts.rs
+++ b/dispatcher/src/lifecycle/config/parts.rs
@@ -1,6 +1,6 @@
 //! The files that turn parts on: the operators' own, with a section for each part, and those of single parts.
 
-use super::ConfigFiles;
+use super::ConfigSources;
 use super::limits::Limits;
 use super::settings_file::SettingsFile;
 use crate::lifecycle::load_error::{FileError, LoadError};
@@ -46,25 +46,25 @@
     ///
     /// # Errors
     /// A file is rejected, or a part is set in two of them.
-    pub fn load(files: &ConfigFiles, limits: Limits, site: &Site) -> Result<Parts, LoadError> {
-        let mut parts = match &files.operator {
+    pub fn load(sources: &ConfigSources, limits: Limits, site: &Site) -> Result<Parts, LoadError> {
+        let mut parts = match &sources.operator {
             Some(path) => Parts::read_operator_file(path, limits, site)?,
             None => Parts::default(),
         };
-        if let Some(path) = &files.gearman {
+        if let Some(path) = &sources.gearman {
             let gearman = read_gearman_file(path, limits, site)?;
             if parts.gearman.replace(gearman).is_some() {
                 return Err(LoadError::DuplicateSection { part: "gearman" });
             }
         }
-        if let Some(path) = &files.ipfix {
+        if let Some(path) = &sources.ipfix {
             let ipfix = read_ipfix_file(path)?;
             if parts.ipfix.replace(ipfix).is_some() {
                 return Err(LoadError::DuplicateSection { part: "ipfix" });
             }
         }
-        parts.log.level = files.log_level.unwrap_or(parts.log.level);
-        parts.log.format = files.log_format.unwrap_or(parts.log.format);
+        parts.log.level = sources.log_level.unwrap_or(parts.log.level);
+        parts.log.format = sources.log_format.unwrap_or(parts.log.format);
         Ok(parts)
     }
 
--- a/dispatcher/src/lifecycle/relay.rs
+++ b/dispatcher/src/lifecycle/relay.rs
@@ -56,8 +56,8 @@
     let mut writer = RelayWriter::new(own_path.clone());
     let mut reader = RelayReader::new(directory, prefix.to_owned(), own_path);
     loop {
-        let vacant = QUEUE_CAPACITY.saturating_sub(writer.queued());
-        writer.enqueue(outlet.try_iter().take(vacant));
+        let capacity_left = QUEUE_CAPACITY.saturating_sub(writer.queued());
+        writer.enqueue(outlet.try_iter().take(capacity_left));
         writer.write_queued();
         for body in reader.read_new() {
             callbacks::take(&body, site, inbox, false);
--- a/dispatcher/src/lifecycle/signals.rs
+++ b/dispatcher/src/lifecycle/signals.rs
@@ -28,7 +28,7 @@
             handles.request_shutdown();
             continue;
         }
-        match config::load(config.files.clone()) {
+        match config::load(config.sources.clone()) {
             Ok(new) => {
                 handles.reload(&config, &new, &mut site_in_use);
                 config = new;
