--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -2,11 +2,13 @@
 
 mod handle;
 mod stream;
+mod watch_error;
 
-use super::http::{HttpError, by};
+use super::http::by;
 use super::list::{EndpointList, listed_hosts};
 use super::list_history::ListHistory;
 use crate::core::{FleetId, Inbox, Input, ListedHost, clock};
+use crate::lifecycle::error_chain::ErrorChain;
 pub use handle::DiscoveryHandle;
 use handle::Location;
 use may::sync::mpsc::Receiver;
@@ -16,6 +18,7 @@
 use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, WatchEnd, WatchEndReason};
 use std::sync::Arc;
 use std::time::Duration;
+use watch_error::WatchError;
 
 /// The pause between watches where lists are pushed: the service is this machine's agent, so it needs no backoff.
 const PUSH_RECONNECT_PAUSE: Duration = Duration::from_millis(100);
@@ -66,8 +69,6 @@
 struct WatchProgress {
     /// A connection came up.
     connected: bool,
-    /// None came up, as this machine was short of something.
-    failed_locally: bool,
     /// When the latest event was received.
     last_event_at: Option<Micros>,
 }
@@ -146,10 +147,10 @@
     fn watch_once(&mut self, location: Location) -> WatchEnd {
         let started_at = clock::now();
         self.progress = WatchProgress::default();
-        let result = self.watch(location);
+        let Err(error) = self.watch(location);
         self.count_empty_lists();
-        tracing::warn!(address = %location.address, reason = ?result, "discovery watch closed");
-        let reason = self.end_reason(result);
+        tracing::warn!(address = %location.address, reason = %ErrorChain(&error), "discovery watch closed");
+        let reason = self.end_reason(&error);
         // Without any event the service is known not to answer since the watch began, or since it refused.
         let unanswered_at = if reason == WatchEndReason::Refused { clock::now() } else { started_at };
         WatchEnd { reason, in_sync_until: self.progress.last_event_at.unwrap_or(unanswered_at) }
@@ -165,15 +166,11 @@
         }
     }
 
-    fn end_reason(&self, result: Result<(), HttpError>) -> WatchEndReason {
-        if self.progress.failed_locally {
-            return WatchEndReason::LocalFailure;
-        }
-        if !self.progress.connected {
-            return WatchEndReason::Unreachable;
-        }
-        match result {
-            Err(HttpError::Late) => WatchEndReason::Silent,
+    fn end_reason(&self, error: &WatchError) -> WatchEndReason {
+        match error {
+            WatchError::LocalShortage(_) => WatchEndReason::LocalFailure,
+            _ if !self.progress.connected => WatchEndReason::Unreachable,
+            WatchError::Silent => WatchEndReason::Silent,
             _ => WatchEndReason::Refused,
         }
     }
--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -1,6 +1,7 @@
 //! One watch: the connection, the full list where its revision is unknown, and the events of the stream.
 
 use super::handle::Location;
+use super::watch_error::WatchError;
 use super::{DiscoveryWatcher, MAX_LIST_BYTES};
 use crate::core::{Input, clock};
 use crate::wire::http::{HttpError, Reader, by};
@@ -9,6 +10,7 @@
 use crate::wire::socket::{ConnectError, LocalRetry, Socket};
 use roselock::{ListMode, Micros, SECOND};
 use roselock_discovery_client::poll_schedule::WATCH_TIMEOUT;
+use std::convert::Infallible;
 use std::net::SocketAddr;
 
 /// How long a connection may take to come up, and a request to be written.
@@ -21,8 +23,8 @@
 const MAX_EMPTY_LIST_DOUBLINGS: u32 = 3;
 
 impl DiscoveryWatcher {
-    /// Watches at a location until the watch ends.
-    pub(super) fn watch(&mut self, location: Location) -> Result<(), HttpError> {
+    /// Watches at a location until the watch ends; why it did.
+    pub(super) fn watch(&mut self, location: Location) -> Result<Infallible, WatchError> {
         let mut socket = self.connect(location)?;
         self.progress.connected = true;
         let mut reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
@@ -33,30 +35,29 @@
                 reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
             }
         }
-        let Some(revision) = self.revision else { return Err(HttpError::Status(400)) };
+        let Some(revision) = self.revision else { return Err(WatchError::NoRevision) };
         open_stream(location.address, revision, &socket, &mut reader)?;
         self.read_events(&mut reader)
     }
 
     /// Opens a connection, which a move closes. Where this machine is short of something for it, it tries again.
-    fn connect(&mut self, location: Location) -> Result<Socket, HttpError> {
+    fn connect(&mut self, location: Location) -> Result<Socket, WatchError> {
         let deadline = by(CONNECT_TIMEOUT);
         let mut retry = LocalRetry::default();
         let socket = loop {
             match Socket::connect(location.address, deadline) {
                 Ok(socket) => break socket,
-                Err(ConnectError::Peer(_)) => return Err(HttpError::Broken),
+                Err(ConnectError::Peer(error)) => return Err(WatchError::Connect(error)),
                 Err(ConnectError::Local(error)) => {
                     tracing::debug!(reason = %error, "cannot connect to discovery yet");
                     if !retry.wait(deadline) {
-                        self.progress.failed_locally = true;
-                        return Err(HttpError::Broken);
+                        return Err(WatchError::LocalShortage(error));
                     }
                 }
             }
         };
         if !self.handle.register_connection(location, &socket) {
-            return Err(HttpError::Ended);
+            return Err(WatchError::Moved);
         }
         Ok(socket)
     }
@@ -67,11 +68,11 @@
         address: SocketAddr,
         socket: &Socket,
         reader: &mut Reader,
-    ) -> Result<bool, HttpError> {
+    ) -> Result<bool, WatchError> {
         send_request(address, "", socket)?;
         let response = reader.response(by(RESPONSE_TIMEOUT))?;
         if response.status != 200 {
-            return Err(HttpError::Status(response.status));
+            return Err(WatchError::Status(response.status));
         }
         match serde_json::from_slice(response.body()) {
             Ok(list) => self.apply_list(list)?,
@@ -81,7 +82,7 @@
     }
 
     /// Reads the events of the stream until it ends, or the full list is due.
-    fn read_events(&mut self, reader: &mut Reader) -> Result<(), HttpError> {
+    fn read_events(&mut self, reader: &mut Reader) -> Result<Infallible, WatchError> {
         let mut parser = ListParser::default();
         let mut empty_list_retry_at = None;
         let mut silent_at = by(WATCH_TIMEOUT);
@@ -92,12 +93,12 @@
             let mut chunk = Vec::new();
             match reader.chunk(&mut chunk, MAX_LIST_BYTES, deadline) {
                 Ok(true) => {}
-                Ok(false) => return Ok(()),
+                Ok(false) => return Err(WatchError::Closed),
                 Err(HttpError::Late) if self.resync_at == Some(deadline) => {
                     self.revision = None;
-                    return Ok(());
+                    return Err(WatchError::ResyncDue);
                 }
-                Err(error) => return Err(error),
+                Err(error) => return Err(error.into()),
             }
             let continues_list = parser.buffered() > 0;
             parser.push(&chunk);
@@ -111,7 +112,7 @@
                 self.note_event();
             }
             if parser.buffered() > MAX_LIST_BYTES {
-                return Err(HttpError::Status(413));
+                return Err(WatchError::ListTooLong);
             }
         }
     }
@@ -126,7 +127,7 @@
     }
 
     /// Applies the lists that have been received; whether there was any, malformed ones included.
-    fn apply_lists(&mut self, parser: &mut ListParser) -> Result<bool, HttpError> {
+    fn apply_lists(&mut self, parser: &mut ListParser) -> Result<bool, WatchError> {
         let mut found_any = false;
         while let Some(found) = parser.next_list() {
             found_any = true;
@@ -154,13 +155,13 @@
     }
 
     /// Hands a list to the decisions.
-    fn apply_list(&mut self, mut list: EndpointList) -> Result<(), HttpError> {
+    fn apply_list(&mut self, mut list: EndpointList) -> Result<(), WatchError> {
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
         if is_older && !list.is_complete {
             // Changes to what is not known here, or of long ago.
             tracing::warn!(revision = list.revision, "changes of an older revision, polling the full list");
             self.revision = None;
-            return Err(HttpError::Status(409));
+            return Err(WatchError::OutdatedChanges);
         }
         self.revision = Some(list.revision);
         self.progress.last_event_at = Some(clock::now());
@@ -186,16 +187,16 @@
     revision: u64,
     socket: &Socket,
     reader: &mut Reader,
-) -> Result<(), HttpError> {
+) -> Result<(), WatchError> {
     send_request(address, &format!("?watch=1&after={revision}"), socket)?;
     let head = reader.stream_head(by(RESPONSE_TIMEOUT))?;
     if head.status != 200 {
-        return Err(HttpError::Status(head.status));
+        return Err(WatchError::Status(head.status));
     }
     Ok(())
 }
 
-fn send_request(address: SocketAddr, query: &str, socket: &Socket) -> Result<(), HttpError> {
+fn send_request(address: SocketAddr, query: &str, socket: &Socket) -> Result<(), WatchError> {
     let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-    socket.write(&[request.as_bytes()], by(CONNECT_TIMEOUT)).map_err(|_| HttpError::Broken)
+    socket.write(&[request.as_bytes()], by(CONNECT_TIMEOUT)).map_err(WatchError::Send)
 }
