--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -7,8 +7,9 @@
 
 use super::load_error::{FileError, LoadError};
 use super::log_settings::{LogFormat, LogLevel, LogSettings};
+use crate::wire::gearman;
+use crate::wire::ipfix::IpfixSettings;
 use crate::wire::list::EndpointList;
-use crate::wire::{gearman, ipfix};
 pub use limits::{Limits, ResourceShares};
 use node_file::NodeFile;
 use parts::Parts;
@@ -51,7 +52,7 @@
     /// The Gearman front, if it is on.
     pub gearman: Option<gearman::File>,
     /// The export of flows, if it is on.
-    pub ipfix: Option<ipfix::File>,
+    pub ipfix: Option<IpfixSettings>,
 }
 
 /// What the command line says of the configuration.
--- a/dispatcher/src/lifecycle/config/parts.rs
+++ b/dispatcher/src/lifecycle/config/parts.rs
@@ -7,7 +7,8 @@
 use crate::lifecycle::log_settings::LogSettings;
 use crate::lifecycle::settings_error::ConfigError;
 use crate::lifecycle::startup_settings::{StartupParameters, StartupSettings};
-use crate::wire::{gearman, ipfix};
+use crate::wire::gearman;
+use crate::wire::ipfix::IpfixSettings;
 use roselock::settings::Site;
 use serde::Deserialize;
 use std::path::Path;
@@ -21,7 +22,7 @@
     #[serde(default)]
     gearman: Option<gearman::File>,
     #[serde(default)]
-    ipfix: Option<ipfix::File>,
+    ipfix: Option<IpfixSettings>,
     #[serde(default)]
     start: StartupSettings,
 }
@@ -34,7 +35,7 @@
     /// The Gearman front, if it is on.
     pub gearman: Option<gearman::File>,
     /// The export of flows, if it is on.
-    pub ipfix: Option<ipfix::File>,
+    pub ipfix: Option<IpfixSettings>,
     /// How the process starts beside others.
     pub start: StartupParameters,
     /// Keys that are accepted and should be changed.
@@ -75,7 +76,7 @@
             check_gearman(gearman, limits, site).map_err(|error| file.locate("gearman.", error))?;
         }
         if let Some(ipfix) = &sections.ipfix {
-            ipfix::check(ipfix).map_err(|error| file.locate("ipfix.", error))?;
+            ipfix.check().map_err(|error| file.locate("ipfix.", error))?;
         }
         let start = sections.start.parameters().map_err(|error| file.locate("start.", error))?;
         let deprecated = sections.start.deprecated_key();
@@ -91,10 +92,10 @@
     Ok(gearman)
 }
 
-fn read_ipfix_file(path: &Path) -> Result<ipfix::File, FileError> {
+fn read_ipfix_file(path: &Path) -> Result<IpfixSettings, FileError> {
     let file = SettingsFile::read(path)?;
-    let ipfix = file.parse()?;
-    ipfix::check(&ipfix).map_err(|error| file.locate("", error))?;
+    let ipfix: IpfixSettings = file.parse()?;
+    ipfix.check().map_err(|error| file.locate("", error))?;
     Ok(ipfix)
 }
 
--- a/dispatcher/src/lifecycle/relay.rs
+++ b/dispatcher/src/lifecycle/relay.rs
@@ -60,7 +60,7 @@
         writer.enqueue(outlet.try_iter().take(vacant));
         writer.write_queued();
         for body in reader.read_new() {
-            callbacks::take(&body, site, inbox, false);
+            callbacks::post(&body, site, inbox, false);
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/dispatcher/src/lifecycle/start_error.rs
+++ b/dispatcher/src/lifecycle/start_error.rs
@@ -3,6 +3,7 @@
 use super::listen::ListenError;
 use super::load_error::LoadError;
 use super::settings_error::ConfigError;
+use roselock::SettingsError;
 use std::io;
 use thiserror::Error;
 
@@ -22,11 +23,8 @@
     #[error("cannot export flows")]
     FlowExport(#[source] io::Error),
     /// The settings of the decisions are rejected.
-    #[error("{reason}")]
-    Fleet {
-        /// Why.
-        reason: String,
-    },
+    #[error(transparent)]
+    Fleet(#[from] SettingsError),
     /// The settings of the Gearman front are rejected.
     #[error(transparent)]
     GearmanSettings(#[from] ConfigError),
--- a/dispatcher/src/lifecycle/startup.rs
+++ b/dispatcher/src/lifecycle/startup.rs
@@ -9,7 +9,7 @@
 use crate::wire::admin::{self, Admin};
 use crate::wire::connection_limiter::ConnectionLimiter;
 use crate::wire::discovery::{DiscoveryHandle, DiscoveryWatcher, WatcherParameters};
-use crate::wire::front::{self, Front};
+use crate::wire::front::{self, Front, FrontParameters};
 use crate::wire::gearman::{self, Gearman};
 use crate::wire::ipfix;
 use crate::wire::upstream::HttpDialer;
@@ -18,7 +18,6 @@
 use roselock::settings::{Site, fnv};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::AtomicUsize;
 
 /// What the steps of the start share.
 pub struct Startup<'a> {
@@ -54,8 +53,8 @@
     /// # Errors
     /// Its socket cannot be opened.
     pub fn start_flow_export(&self) -> Result<Option<Box<dyn FlowSink>>, StartError> {
-        let Some(file) = &self.config.ipfix else { return Ok(None) };
-        let flows = ipfix::start(file, &self.site).map_err(StartError::FlowExport)?;
+        let Some(settings) = &self.config.ipfix else { return Ok(None) };
+        let flows = ipfix::start(settings, &self.site).map_err(StartError::FlowExport)?;
         Ok(Some(flows))
     }
 
@@ -75,20 +74,18 @@
         flows: Option<Box<dyn FlowSink>>,
         poll_requests: mpsc::Sender<()>,
     ) -> Result<(Core, FleetId), StartError> {
-        let dialer = HttpDialer {
-            inbox: self.inbox.clone(),
-            site: self.site.clone(),
-            open: Arc::new(AtomicUsize::new(0)),
-            most: self.shares.upstream_connections,
-            watch: poll_requests,
-            metrics: self.admin_state.metrics.clone(),
-        };
+        let dialer = HttpDialer::new(
+            self.inbox.clone(),
+            self.site.clone(),
+            self.admin_state.metrics.clone(),
+            self.shares.upstream_connections,
+            poll_requests,
+        );
         // The endpoint list of this fleet alone expires where discovery is silent: workers that connect to this process
         // are known by their connections.
         let settings = Settings { list_lease_enabled: true, ..self.site.settings.clone() };
         let mut core = Core::new(self.inbox.clone(), inputs, flows, self.admin_state.clone());
-        let fleet = core.add_fleet(settings, self.config.seed, Some(Box::new(dialer)));
-        let fleet = fleet.map_err(|error| StartError::Fleet { reason: error.to_string() })?;
+        let fleet = core.add_fleet(settings, self.config.seed, Some(Box::new(dialer)))?;
         if let Some(limits) = self.config.dial_limits {
             core.set_dial_limits(fleet, limits);
         }
@@ -124,13 +121,12 @@
     pub fn start_http_front(&self, fleet: FleetId) -> Result<StartedHttpFront, StartError> {
         let clients = listen::for_clients(self.config)?;
         let Listener { socket, address } = clients.listener;
-        let front = Arc::new(Front {
+        let front = Front::new(FrontParameters {
             site: self.site.clone(),
             inbox: self.inbox.clone(),
             fleet,
-            connections: ConnectionLimiter::new(self.shares.http_connections),
-            bytes: AtomicUsize::new(self.shares.http_bytes),
-            held: AtomicUsize::new(0),
+            max_connections: self.shares.http_connections,
+            body_bytes: self.shares.http_bytes,
             inherited: clients.is_inherited,
             metrics: self.admin_state.metrics.clone(),
         });
@@ -194,7 +190,7 @@
             metrics: self.admin_state.metrics.clone(),
             suspensions: self.admin_state.suspensions.clone(),
             inbox: self.inbox.clone(),
-            connections: ConnectionLimiter::new(admin::CONNECTIONS),
+            connections: ConnectionLimiter::new(admin::MAX_CONNECTIONS),
         });
         may::go!(move || admin::accept(admin, &socket));
         // Tools read the address from this line.
--- a/dispatcher/src/wire/arrivals.rs
+++ b/dispatcher/src/wire/arrivals.rs
@@ -1,77 +1,82 @@
-//! When the bytes of a buffer were read: a request counts from its last byte, which may have come long before its turn does.
+//! When the bytes of a buffer were read. The time of a request counts from its last byte, which may be read long before the
+//! request is processed.
 
 use roselock::Micros;
 use std::collections::VecDeque;
 
-/// Bytes that were read within this span count as read together, at the time of the first of them.
-const TOGETHER: Micros = 10_000;
-/// Most times that are kept; where there are more, neighbours are merged.
-const MOST: usize = 1024;
+/// Bytes that are read within this span (in microseconds) count as one arrival, at the time of the first of them.
+const MERGE_SPAN: Micros = 10_000;
+/// Most arrivals that are kept; beyond that, neighbours are merged.
+const MAX_ARRIVALS: usize = 1024;
 
-/// The bytes up to an offset were read by a time, in microseconds.
+/// Bytes that were read together.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
+    /// Where they end in the buffer.
     end: usize,
+    /// When they were read.
     at: Micros,
 }
 
 /// The times at which the bytes of a buffer were read, oldest first.
 #[derive(Debug, Default)]
 pub struct Arrivals {
-    times: VecDeque<Arrival>,
-    /// When the last byte that was consumed had been read.
-    consumed: Micros,
+    arrivals: VecDeque<Arrival>,
+    /// When the last consumed byte had been read.
+    last_consumed_at: Micros,
 }
 
 impl Arrivals {
-    /// The buffer is `len` bytes long now; those that are new were read at `now`.
-    pub fn extend(&mut self, len: usize, now: Micros) {
-        let known = self.times.back().map_or(0, |last| last.end);
-        if len <= known {
+    /// Records that the buffer is `length` bytes long now; the new ones were read at `now`.
+    pub fn extend(&mut self, length: usize, now: Micros) {
+        let known_length = self.arrivals.back().map_or(0, |last| last.end);
+        if length <= known_length {
             return;
         }
-        match self.times.back_mut().filter(|last| now - last.at < TOGETHER) {
-            Some(last) => last.end = len,
-            None => self.times.push_back(Arrival { end: len, at: now }),
+        match self.arrivals.back_mut().filter(|last| now - last.at < MERGE_SPAN) {
+            Some(last) => last.end = length,
+            None => self.arrivals.push_back(Arrival { end: length, at: now }),
         }
-        if self.times.len() > MOST {
-            self.merge();
+        if self.arrivals.len() > MAX_ARRIVALS {
+            self.merge_neighbours();
         }
     }
 
-    /// The first `bytes` leave the buffer.
-    pub fn consume(&mut self, bytes: usize) {
-        if bytes == 0 {
+    /// Records that the first `count` bytes leave the buffer.
+    pub fn consume(&mut self, count: usize) {
+        if count == 0 {
             return;
         }
-        while let Some(first) = self.times.front_mut() {
-            self.consumed = first.at;
-            if first.end > bytes {
-                break;
-            }
+        while let Some(first) = self.arrivals.front() {
+            self.last_consumed_at = first.at;
             let end = first.end;
-            self.times.pop_front();
-            if end == bytes {
+            if end <= count {
+                self.arrivals.pop_front();
+            }
+            if end >= count {
                 break;
             }
         }
-        self.times.iter_mut().for_each(|arrival| arrival.end -= bytes);
+        for arrival in &mut self.arrivals {
+            arrival.end -= count;
+        }
     }
 
     /// When the last byte that left the buffer had been read.
-    pub fn consumed(&self) -> Micros {
-        self.consumed
+    pub fn last_consumed_at(&self) -> Micros {
+        self.last_consumed_at
     }
 
     /// When the first byte of the buffer was read, if there is one.
     pub fn first(&self) -> Option<Micros> {
-        self.times.front().map(|first| first.at)
+        self.arrivals.front().map(|first| first.at)
     }
 
-    /// Merges neighbours, at the earlier time of both: nothing counts as read later than it was.
-    fn merge(&mut self) {
-        let merged = self.times.make_contiguous().chunks(2);
-        self.times = merged.map(|pair| Arrival { end: pair[pair.len() - 1].end, at: pair[0].at }).collect();
+    /// Merges neighbours, at the earlier time of both: no byte counts as read later than it was.
+    fn merge_neighbours(&mut self) {
+        let pairs = self.arrivals.make_contiguous().chunks(2);
+        let merged = pairs.map(|pair| Arrival { end: pair[pair.len() - 1].end, at: pair[0].at });
+        self.arrivals = merged.collect();
     }
 }
 
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -1,16 +1,17 @@
-//! The call-backs in which upstream hosts tell what becomes of a stream.
+//! Callbacks, in which upstream hosts report the progress and end of a stream.
 
 use crate::core::{CallbackEvent, Inbox, Input};
 use roselock::Outcome;
-use roselock::settings::{self, Site};
+use roselock::settings::{Site, WorkerReport};
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Where they come in.
+/// The path that hosts post callbacks to.
 pub const PATH: &str = "/v1/job-events";
 
+/// The body of a callback.
 #[derive(Deserialize)]
-struct CallBack<'a> {
+struct Callback<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
     #[serde(borrow)]
@@ -22,30 +23,35 @@
     #[serde(default)]
     result: Option<String>,
     #[serde(default)]
-    load: Option<settings::WorkerReport>,
+    load: Option<WorkerReport>,
 }
 
-/// Passes one on, with its body where the other process of an upgrade may have its stream; false where it makes no
-/// sense.
-pub fn take(body: &[u8], site: &Site, inbox: &Inbox, relayed: bool) -> bool {
-    let Ok(c) = serde_json::from_slice::<CallBack>(body) else { return false };
-    let told = match &*c.state {
+/// What a callback reports; none if its state is unknown.
+fn event_of(state: &str, share: f64, result: Option<String>) -> Option<CallbackEvent> {
+    let event = match state {
         "started" => CallbackEvent::Started,
-        "running" => CallbackEvent::Progress(c.share),
-        "done" => CallbackEvent::Ended(Outcome::Ok, c.result.unwrap_or_default().into_bytes()),
+        "running" => CallbackEvent::Progress(share),
+        "done" => CallbackEvent::Ended(Outcome::Ok, result.unwrap_or_default().into_bytes()),
         "failed" => CallbackEvent::Ended(Outcome::Error, Vec::new()),
         "returned" => CallbackEvent::Ended(Outcome::Rejected, Vec::new()),
         "lost" => CallbackEvent::Ended(Outcome::Reset, Vec::new()),
-        _ => return false,
+        _ => return None,
     };
-    let gauge = c.load.map(|l| site.load_report(&l)).unwrap_or_default();
-    let body = relayed.then(|| body.to_vec());
+    Some(event)
+}
+
+/// Posts a callback to the owner thread, with its body if the other process of an upgrade may have its stream
+/// (`may_forward`). False if it is invalid.
+pub fn post(body: &[u8], site: &Site, inbox: &Inbox, may_forward: bool) -> bool {
+    let Ok(callback) = serde_json::from_slice::<Callback>(body) else { return false };
+    let Some(event) = event_of(&callback.state, callback.share, callback.result) else { return false };
+    let report = callback.load.map(|load| site.load_report(&load)).unwrap_or_default();
     inbox.post(Input::Callback {
-        id: c.id.into_owned(),
-        from: c.from.into_owned(),
-        event: told,
-        report: gauge,
-        body,
+        id: callback.id.into_owned(),
+        from: callback.from.into_owned(),
+        event,
+        report,
+        body: may_forward.then(|| body.to_vec()),
     });
     true
 }
--- a/dispatcher/src/wire/connection_limiter.rs
+++ b/dispatcher/src/wire/connection_limiter.rs
@@ -1,8 +1,8 @@
-//! The connections that a front accepts: how many there may be, and which of them go where there are too many.
+//! The connections that a listener accepts: how many there may be, and which of them are shed beyond that.
 
 use super::socket::Socket;
 use may::net::{TcpListener, TcpStream};
-use parking_lot::{Mutex, MutexGuard};
+use parking_lot::Mutex;
 use roselock::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,20 +10,24 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How long a connection may take from its first moment to its first whole message: more than the 2 s over which slow clients
-/// write, less than the 3 s within which who stops is owed an error or a close, with room on both sides. Who says nothing, or
-/// half of something, is told or closed after it.
+/// How long a connection may take from its start to its first complete message, in microseconds: more than the 2 s over which
+/// slow clients write, less than the 3 s within which a client that stops sending is owed an error or a close, with a margin on
+/// both sides. A client that has sent nothing, or part of a message, gets an error or a close after it.
 pub const FIRST_REQUEST_TIMEOUT: Micros = SECOND * 27 / 10;
-/// How long a further message may take to come in, from its first byte.
+/// How long a further message may take to arrive, from its first byte, in microseconds.
 pub const REQUEST_READ_TIMEOUT: Micros = SECOND * 27 / 10;
-/// Connections beyond the most that are accepted while others are being shed.
-const OVER: usize = 8;
-/// Looks, a millisecond apart, for such as need not be missed before one goes that is between requests.
-const PATIENT: u32 = 4;
-/// Most bytes that are read and dropped before one goes.
-const DRAINED: usize = 64 << 10;
-
-/// Which connections go first where there are too many; of equals the oldest.
+/// Connections beyond the limit that are accepted while others are being shed.
+const MAX_EXCESS_CONNECTIONS: usize = 8;
+/// How often the number of connections is polled while it is above that.
+const SHED_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Polls in which only unidentified or closing connections are shed; after them, idle ones are shed too.
+const POLLS_BEFORE_IDLE_SHED: u32 = 4;
+/// Most bytes that are read and discarded before a connection is shed.
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
+
+/// Which connections are shed first; among equals the oldest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedPriority {
     /// Its last message has been sent: it is closing.
@@ -34,107 +38,137 @@
     Idle,
 }
 
-/// A front's connections.
+/// The place of a sheddable connection in the order of shedding.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ShedKey {
+    priority: ShedPriority,
+    sequence: u64,
+}
+
+/// The connections of a listener.
 pub struct ConnectionLimiter {
     /// Most connections.
     pub max_connections: usize,
     open: AtomicUsize,
-    spare: Mutex<BTreeMap<(ShedPriority, u64), Socket>>,
-    spared: AtomicU64,
+    sheddable: Mutex<BTreeMap<ShedKey, Socket>>,
+    next_sequence: AtomicU64,
 }
 
 impl ConnectionLimiter {
-    /// An empty one for so many.
-    pub fn new(most: usize) -> Arc<ConnectionLimiter> {
+    /// A limiter without connections.
+    pub fn new(max_connections: usize) -> Arc<ConnectionLimiter> {
         Arc::new(ConnectionLimiter {
-            max_connections: most,
+            max_connections,
             open: AtomicUsize::new(0),
-            spare: Mutex::default(),
-            spared: AtomicU64::new(0),
+            sheddable: Mutex::default(),
+            next_sequence: AtomicU64::new(0),
         })
     }
-    fn spares(&self) -> MutexGuard<'_, BTreeMap<(ShedPriority, u64), Socket>> {
-        self.spare.lock()
-    }
-    /// Notes that a connection may go.
-    pub fn spare(self: &Arc<ConnectionLimiter>, rank: ShedPriority, socket: &Socket) -> SheddableConnection {
-        let key = (rank, self.spared.fetch_add(1, Ordering::SeqCst));
-        self.spares().insert(key, socket.clone());
-        SheddableConnection(self.clone(), key)
-    }
-    /// Ends the connection that is missed least, up to a rank; false if there is none.
-    fn shed(&self, up_to: ShedPriority) -> bool {
-        let mut spares = self.spares();
-        let least = spares.first_entry().filter(|e| e.key().0 <= up_to).map(|e| e.remove());
-        drop(spares);
-        least.iter().for_each(|socket| {
-            socket.finish();
-            socket.drain(DRAINED);
-            socket.close();
-        });
-        least.is_some()
-    }
-    /// Says on all connections that may go that nothing more will be written. What comes on them is not taken any more.
-    pub fn finish_writes(&self) {
-        std::mem::take(&mut *self.spares()).values().for_each(Socket::finish);
+
+    /// Marks a connection as sheddable until the result is dropped.
+    pub fn spare(
+        self: &Arc<ConnectionLimiter>,
+        priority: ShedPriority,
+        socket: &Socket,
+    ) -> SheddableConnection {
+        let sequence = self.next_sequence.fetch_add(1, Ordering::SeqCst);
+        let key = ShedKey { priority, sequence };
+        self.sheddable.lock().insert(key, socket.clone());
+        SheddableConnection { limiter: self.clone(), key }
     }
-    /// Connections that are open.
+
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Accepts connections, each served by a coroutine of its own, for as long as `go_on` says so after each one.
-    pub fn accept<G, S>(self: &Arc<ConnectionLimiter>, listener: &TcpListener, go_on: G, serve: S)
+    /// Shuts down the writing direction of all sheddable connections. Requests that arrive on them from now on are not accepted.
+    pub fn finish_writes(&self) {
+        let sheddable = std::mem::take(&mut *self.sheddable.lock());
+        for socket in sheddable.values() {
+            socket.shut_down_writes();
+        }
+    }
+
+    /// Accepts connections as long as `may_accept` holds, which is checked before each one. Each is served by a coroutine of
+    /// its own.
+    pub fn accept<G, S>(self: &Arc<ConnectionLimiter>, listener: &TcpListener, may_accept: G, serve: S)
     where
         G: Fn() -> bool,
         S: Fn(TcpStream, SocketAddr) + Clone + Send + 'static,
     {
-        while go_on() {
+        while may_accept() {
             let Ok((stream, peer)) = listener.accept() else {
                 // Out of descriptors for a moment.
-                may::coroutine::sleep(Duration::from_millis(2));
+                may::coroutine::sleep(ACCEPT_RETRY_PAUSE);
                 continue;
             };
-            let open = self.open.fetch_add(1, Ordering::SeqCst);
-            let (table, serve) = (self.clone(), serve.clone());
+            let open_before = self.open.fetch_add(1, Ordering::SeqCst);
+            let limiter = self.clone();
+            let serve = serve.clone();
             may::go!(move || {
                 serve(stream, peer);
-                table.open.fetch_sub(1, Ordering::SeqCst);
+                limiter.open.fetch_sub(1, Ordering::SeqCst);
             });
-            // It may read what has come with it before the next one is looked at.
+            // It may read what has arrived with it before the next one is accepted.
             may::coroutine::yield_now();
-            if open >= self.max_connections {
+            if open_before >= self.max_connections {
                 self.shed_one();
             }
         }
     }
 
-    /// One goes for one that came. It ends by an event of its socket, which the runtime looks for when nothing else
-    /// runs, and counts until then. Some of them may soon be found not to have identified themselves, so a
-    /// connection between requests is kept a little longer.
+    /// Sheds one connection for one that was accepted. A shed connection ends on an event of its socket, which the runtime polls
+    /// for when nothing else runs, and counts as open until then. Others may soon turn out to be unidentified, so connections
+    /// between requests are shed a little later.
     fn shed_one(&self) {
-        let (mut owed, mut waited) = (!self.shed(ShedPriority::Unidentified), 0);
-        while self.open.load(Ordering::SeqCst) >= self.max_connections + OVER {
-            may::coroutine::sleep(Duration::from_millis(1));
-            waited += 1;
-            let up_to = if waited < PATIENT { ShedPriority::Unidentified } else { ShedPriority::Idle };
-            owed = owed && !self.shed(up_to);
+        let mut must_shed = !self.shed(ShedPriority::Unidentified);
+        let mut polls = 0;
+        while self.open() >= self.max_connections + MAX_EXCESS_CONNECTIONS {
+            may::coroutine::sleep(SHED_POLL_INTERVAL);
+            polls += 1;
+            let last_priority =
+                if polls < POLLS_BEFORE_IDLE_SHED { ShedPriority::Unidentified } else { ShedPriority::Idle };
+            must_shed = must_shed && !self.shed(last_priority);
         }
     }
+
+    /// Closes the first sheddable connection with a priority up to this one; false if there is none.
+    fn shed(&self, last_priority: ShedPriority) -> bool {
+        let Some(socket) = self.take_first(last_priority) else { return false };
+        socket.shut_down_writes();
+        socket.discard_received(MAX_DISCARDED_BYTES);
+        socket.close();
+        true
+    }
+
+    fn take_first(&self, last_priority: ShedPriority) -> Option<Socket> {
+        let mut sheddable = self.sheddable.lock();
+        let first = sheddable.first_entry()?;
+        (first.key().priority <= last_priority).then(|| first.remove())
+    }
 }
 
-/// A connection that may go, until this is dropped.
-pub struct SheddableConnection(Arc<ConnectionLimiter>, (ShedPriority, u64));
+/// A connection that may be shed until this is dropped.
+pub struct SheddableConnection {
+    limiter: Arc<ConnectionLimiter>,
+    key: ShedKey,
+}
 
 impl SheddableConnection {
-    /// It is needed from now on; false where it has been ended: what it sent is not taken, and may be sent again.
+    /// Protects the connection from being shed. False if it has been shed: what it sent is not accepted, and may be sent again.
+    #[must_use]
     pub fn reclaim(self) -> bool {
-        self.0.spares().remove(&self.1).is_some()
+        self.remove()
+    }
+
+    fn remove(&self) -> bool {
+        self.limiter.sheddable.lock().remove(&self.key).is_some()
     }
 }
 
 impl Drop for SheddableConnection {
     fn drop(&mut self) {
-        self.0.spares().remove(&self.1);
+        self.remove();
     }
 }
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -173,7 +173,7 @@
             return WatchEndReason::Unreachable;
         }
         match result {
-            Err(HttpError::Late) => WatchEndReason::Silent,
+            Err(HttpError::TimedOut) => WatchEndReason::Silent,
             _ => WatchEndReason::Refused,
         }
     }
--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -25,12 +25,12 @@
     pub(super) fn watch(&mut self, location: Location) -> Result<(), HttpError> {
         let mut socket = self.connect(location)?;
         self.progress.connected = true;
-        let mut reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
+        let mut reader = Reader::with_max_body(socket.clone(), MAX_LIST_BYTES);
         if self.revision.is_none() {
             let closes = self.fetch_full_list(location.address, &socket, &mut reader)?;
             if closes {
                 socket = self.connect(location)?;
-                reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
+                reader = Reader::with_max_body(socket.clone(), MAX_LIST_BYTES);
             }
         }
         let Some(revision) = self.revision else { return Err(HttpError::Status(400)) };
@@ -45,18 +45,18 @@
         let socket = loop {
             match Socket::connect(location.address, deadline) {
                 Ok(socket) => break socket,
-                Err(ConnectError::Peer(_)) => return Err(HttpError::Broken),
+                Err(ConnectError::Peer(_)) => return Err(HttpError::ConnectionLost),
                 Err(ConnectError::Local(error)) => {
                     tracing::debug!(reason = %error, "cannot connect to discovery yet");
                     if !retry.wait(deadline) {
                         self.progress.failed_locally = true;
-                        return Err(HttpError::Broken);
+                        return Err(HttpError::ConnectionLost);
                     }
                 }
             }
         };
         if !self.handle.register_connection(location, &socket) {
-            return Err(HttpError::Ended);
+            return Err(HttpError::Closed);
         }
         Ok(socket)
     }
@@ -69,7 +69,7 @@
         reader: &mut Reader,
     ) -> Result<bool, HttpError> {
         send_request(address, "", socket)?;
-        let response = reader.response(by(RESPONSE_TIMEOUT))?;
+        let response = reader.read_response(by(RESPONSE_TIMEOUT))?;
         if response.status != 200 {
             return Err(HttpError::Status(response.status));
         }
@@ -90,10 +90,10 @@
             let due = [empty_list_retry_at, self.resync_at].into_iter().flatten();
             let deadline = due.fold(silent_at, Micros::min);
             let mut chunk = Vec::new();
-            match reader.chunk(&mut chunk, MAX_LIST_BYTES, deadline) {
+            match reader.read_chunk(&mut chunk, MAX_LIST_BYTES, deadline) {
                 Ok(true) => {}
                 Ok(false) => return Ok(()),
-                Err(HttpError::Late) if self.resync_at == Some(deadline) => {
+                Err(HttpError::TimedOut) if self.resync_at == Some(deadline) => {
                     self.revision = None;
                     return Ok(());
                 }
@@ -188,7 +188,7 @@
     reader: &mut Reader,
 ) -> Result<(), HttpError> {
     send_request(address, &format!("?watch=1&after={revision}"), socket)?;
-    let head = reader.stream_head(by(RESPONSE_TIMEOUT))?;
+    let head = reader.read_stream_head(by(RESPONSE_TIMEOUT))?;
     if head.status != 200 {
         return Err(HttpError::Status(head.status));
     }
@@ -197,5 +197,5 @@
 
 fn send_request(address: SocketAddr, query: &str, socket: &Socket) -> Result<(), HttpError> {
     let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-    socket.write(&[request.as_bytes()], by(CONNECT_TIMEOUT)).map_err(|_| HttpError::Broken)
+    socket.write(&[request.as_bytes()], by(CONNECT_TIMEOUT)).map_err(|_| HttpError::ConnectionLost)
 }
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -1,8 +1,8 @@
-//! The platform's front: clients' streams and upstream hosts' call-backs on one listener.
+//! The platform's front: requests of clients and callbacks of upstream hosts, on one listener.
 
 mod connection;
 mod request;
-mod room;
+mod reservations;
 mod writer;
 
 use super::connection_limiter::ConnectionLimiter;
@@ -13,36 +13,63 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 
-/// What all connections of the front share.
-pub struct Front {
+/// What a front is made of.
+pub struct FrontParameters {
     /// The settings and their names.
     pub site: Arc<Site>,
-    /// The way to the decisions.
+    /// The way to the owner thread.
     pub inbox: Inbox,
-    /// Who runs the streams.
+    /// The fleet that runs the streams.
     pub fleet: FleetId,
-    /// Its connections; some of them are kept for call-backs, without which no stream would end.
-    pub connections: Arc<ConnectionLimiter>,
-    /// Streams held.
-    pub held: AtomicUsize,
-    /// Bytes that bodies may still take.
-    pub bytes: AtomicUsize,
+    /// Most connections.
+    pub max_connections: usize,
+    /// Bytes that all bodies may occupy together.
+    pub body_bytes: usize,
     /// Whether the listener is the platform's, on which the next process accepts once this one stops.
     pub inherited: bool,
-    /// The figures of the admin address: who is turned away here is counted here.
+    /// The figures of the admin address; requests that are rejected here are counted here.
     pub metrics: Arc<Metrics>,
 }
 
-/// The answer to a call-back.
-const CALLED_BACK: u16 = 204;
-/// Connections kept for call-backs.
-const FOR_CALL_BACKS: usize = 96;
+/// What all connections of the front share.
+pub struct Front {
+    /// The settings and their names.
+    pub site: Arc<Site>,
+    /// The connections. Some are reserved for callbacks, without which no stream would end.
+    pub connections: Arc<ConnectionLimiter>,
+    /// Whether the listener is the platform's, on which the next process accepts once this one stops.
+    pub inherited: bool,
+    inbox: Inbox,
+    fleet: FleetId,
+    /// Streams in flight.
+    in_flight: AtomicUsize,
+    /// Bytes that bodies may still occupy.
+    free_body_bytes: AtomicUsize,
+    metrics: Arc<Metrics>,
+}
+
+impl Front {
+    /// A front without connections.
+    pub fn new(parameters: FrontParameters) -> Arc<Front> {
+        Arc::new(Front {
+            site: parameters.site,
+            connections: ConnectionLimiter::new(parameters.max_connections),
+            inherited: parameters.inherited,
+            inbox: parameters.inbox,
+            fleet: parameters.fleet,
+            in_flight: AtomicUsize::new(0),
+            free_body_bytes: AtomicUsize::new(parameters.body_bytes),
+            metrics: parameters.metrics,
+        })
+    }
+}
 
-/// Accepts connections for ever.
+/// Accepts connections; on an inherited listener until the shutdown begins, else for ever.
 pub fn accept(front: Arc<Front>, listener: &TcpListener) {
-    let table = front.connections.clone();
-    let (inbox, inherited) = (front.inbox.clone(), front.inherited);
-    let go_on = move || !(inherited && inbox.shutdown_requested_at().is_some());
-    table.accept(listener, go_on, move |stream, peer| connection::serve(&front, stream, peer));
+    let connections = front.connections.clone();
+    let inbox = front.inbox.clone();
+    let is_inherited = front.inherited;
+    let may_accept = move || !is_inherited || inbox.shutdown_requested_at().is_none();
+    connections.accept(listener, may_accept, move |stream, peer| connection::serve(&front, stream, peer));
     tracing::info!("no more connections are taken: the next process takes them on the inherited listener");
 }
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -1,15 +1,15 @@
-//! The reading side of a client's connection: one request after another, and the client's leaving.
+//! The reading side of a client's connection: one request after another, until the client disconnects.
 
-use super::request::stream_of;
-use super::room::{Bulk, Held};
-use super::writer::{Writer, Written};
-use super::{CALLED_BACK, Front};
+use super::Front;
+use super::request::parse_stream;
+use super::reservations::{BodyMemory, InFlightStream};
+use super::writer::{WriteResult, Writer};
 use crate::core::{Input, NewStream, StreamId};
 use crate::wire::callbacks;
 use crate::wire::connection_limiter::{
     FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
 };
-use crate::wire::http::{self, HttpError, Message, Reader, by};
+use crate::wire::http::{HttpError, Message, Reader, Response, by, write_response};
 use crate::wire::socket::Socket;
 use may::net::TcpStream;
 use roselock::{Micros, SECOND};
@@ -17,37 +17,45 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a connection that has asked for something may idle.
-const IDLE: Micros = 120 * SECOND;
-/// How long a connection that said its last word waits for the client's next byte or its close, in all, and how many
-/// bytes it reads and drops meanwhile.
+/// How long a connection may be idle after a request, in microseconds.
+const IDLE_TIMEOUT: Micros = 120 * SECOND;
+/// How long a connection that is closing waits for each further read, in microseconds; also how long a local reply may take.
 const CLOSING_TIMEOUT: Micros = SECOND / 2;
-const CLOSING_MOST: Micros = 2 * SECOND;
-const CLOSING_BYTES: usize = 8 << 20;
-/// Bytes behind a held stream that are kept for the connection's next ones: so many in any case, and so many where the
-/// memory for bodies has room for them. What comes beyond is dropped, and the connection ends after those that are kept.
-const AHEAD: usize = 8 * 1024;
-const AHEAD_MOST: usize = 64 * 1024;
-/// While there are such bytes, the answer's end is looked for this often.
-const BEHIND: Micros = SECOND / 50;
+/// How long a connection that is closing waits in all for the client's close, in microseconds.
+const MAX_CLOSING_TIME: Micros = 2 * SECOND;
+/// How many bytes it reads and discards meanwhile.
+const MAX_CLOSING_BYTES: usize = 8 << 20;
+/// Bytes after a stream in flight that are kept for the next requests in any case.
+const MIN_READ_AHEAD: usize = 8 * 1024;
+/// Bytes that are kept if the memory for bodies has room for them. Further ones are discarded, and the connection closes after
+/// the requests that are kept.
+const MAX_READ_AHEAD: usize = 64 * 1024;
+/// While there are such bytes, the end of the answer is polled at this interval, in microseconds.
+const ANSWER_POLL_INTERVAL: Micros = SECOND / 50;
+/// Bytes of an invalid request that are logged.
+const LOGGED_BYTES: usize = 160;
+/// The response to a callback.
+const CALLBACK_ACCEPTED: u16 = 204;
+/// The path that answers whether the process is ready.
+const READY_PATH: &str = "/health/ready";
 
 /// Serves a connection until it ends.
 pub(super) fn serve(front: &Arc<Front>, stream: TcpStream, peer: SocketAddr) {
     let mut connection = Connection::new(front, stream, peer);
     loop {
         match connection.step() {
-            Next::Again => {}
-            Next::Close => return connection.close(),
-            Next::End => return,
+            NextStep::Continue => {}
+            NextStep::Close => return connection.close(),
+            NextStep::End => return,
         }
     }
 }
 
 /// How a connection goes on.
-enum Next {
+enum NextStep {
     /// With its next bytes.
-    Again,
-    /// Its last word has been said: what it still sends is read and dropped.
+    Continue,
+    /// The last response has been written: what the client still sends is read and discarded.
     Close,
     /// Not at all.
     End,
@@ -55,28 +63,45 @@
 
 /// What becomes of a request.
 enum Routed {
-    /// It is a stream of this number.
-    Held(StreamId),
-    /// The connection was shed in this moment.
+    /// It is a stream with this number.
+    InFlight(StreamId),
+    /// The connection was shed just now.
     Shed,
-    /// A local reply: its status, further headers, and body.
-    Reply(u16, &'static str, &'static str),
+    /// It gets a local reply.
+    Reply(LocalReply),
 }
 
+/// A response that this process makes itself.
+struct LocalReply {
+    status: u16,
+    headers: &'static str,
+    body: &'static str,
+}
+
+impl Routed {
+    fn reply(status: u16) -> Routed {
+        Routed::Reply(LocalReply { status, headers: retry_after(status), body: "" })
+    }
+    fn method_not_allowed(allow: &'static str) -> Routed {
+        Routed::Reply(LocalReply { status: 405, headers: allow, body: "" })
+    }
+}
+
+/// The reading side of a client's connection.
 struct Connection<'a> {
     front: &'a Arc<Front>,
     peer: SocketAddr,
     socket: Socket,
     reader: Reader,
     writer: Option<Writer>,
-    /// The stream whose answer is yet to be written, as far as this side knows.
+    /// The stream whose answer is not written yet, as far as the reader knows.
     pending: Option<StreamId>,
-    /// Room for what came behind it, where there is much.
-    ahead: Option<Bulk>,
-    /// Until it has sent a stream or a call-back, it is among the first to go where there are too many.
+    /// Memory for what arrived after it, if that is much.
+    read_ahead_memory: Option<BodyMemory>,
+    /// Until it has sent a stream or a callback, it is among the first to be shed.
     unidentified: Option<SheddableConnection>,
-    /// Until it has sent anything that makes sense, it has this long.
-    hello: Option<Micros>,
+    /// When its first valid request must be complete; none after that.
+    first_request_deadline: Option<Micros>,
 }
 
 impl Connection<'_> {
@@ -88,211 +113,249 @@
             reader: Reader::new(socket.clone()),
             writer: None,
             pending: None,
-            ahead: None,
+            read_ahead_memory: None,
             unidentified: Some(front.connections.spare(ShedPriority::Unidentified, &socket)),
-            hello: Some(by(FIRST_REQUEST_TIMEOUT)),
+            first_request_deadline: Some(by(FIRST_REQUEST_TIMEOUT)),
             socket,
         }
     }
 
-    /// Up to the next bytes, answer or request.
-    fn step(&mut self) -> Next {
+    /// Goes on to the next bytes, answer or request.
+    fn step(&mut self) -> NextStep {
         self.reader.skip_blank_lines();
         if let Some(stream) = self.pending {
             let filled = self.read_ahead();
-            return self.look_for_answer(stream, filled);
+            return self.check_answer(stream, filled);
         }
-        self.ahead = None;
+        self.read_ahead_memory = None;
         if !self.reader.is_empty() {
             return self.take_message();
         }
         if self.reader.is_sealed() {
-            return Next::Close;
+            return NextStep::Close;
         }
-        match self.wait() {
-            None => Next::Close,
-            Some(Ok(true)) => Next::Again,
-            Some(_) => Next::End,
+        match self.wait_for_request() {
+            None => NextStep::Close,
+            Some(Ok(true)) => NextStep::Continue,
+            Some(_) => NextStep::End,
         }
     }
 
     /// Waits for the first bytes of a request; none if the connection was shed meanwhile.
-    fn wait(&mut self) -> Option<Result<bool, HttpError>> {
+    fn wait_for_request(&mut self) -> Option<Result<bool, HttpError>> {
         if self.unidentified.is_some() {
-            let due = self.hello.unwrap_or_else(|| by(IDLE));
-            return Some(self.reader.fill(due));
+            let deadline = self.first_request_deadline.unwrap_or_else(|| by(IDLE_TIMEOUT));
+            return Some(self.reader.fill(deadline));
         }
-        let spare = self.front.connections.spare(ShedPriority::Idle, &self.socket);
-        let filled = self.reader.fill(by(IDLE));
-        spare.reclaim().then_some(filled)
+        let sheddable = self.front.connections.spare(ShedPriority::Idle, &self.socket);
+        let filled = self.reader.fill(by(IDLE_TIMEOUT));
+        sheddable.reclaim().then_some(filled)
     }
 
-    /// Reads what comes behind a held stream: it watches for the client's leaving, whatever has come.
+    /// Reads what follows a stream in flight. It always reads, to notice when the client disconnects.
     fn read_ahead(&mut self) -> Result<bool, HttpError> {
-        let held = self.reader.held().len();
-        self.note_behind(held > 0);
-        if held == 0 {
-            let filled = self.reader.fill(by(IDLE));
-            self.note_behind(!self.reader.is_empty());
+        let unparsed = self.reader.unparsed().len();
+        self.note_pipelined_bytes(unparsed > 0);
+        if unparsed == 0 {
+            let filled = self.reader.fill(by(IDLE_TIMEOUT));
+            self.note_pipelined_bytes(!self.reader.is_empty());
             return filled;
         }
-        if held >= AHEAD && self.ahead.is_none() {
-            self.ahead = Bulk::new(self.front, AHEAD_MOST);
+        if unparsed >= MIN_READ_AHEAD && self.read_ahead_memory.is_none() {
+            self.read_ahead_memory = BodyMemory::reserve(self.front, MAX_READ_AHEAD);
         }
-        let most = if self.ahead.is_some() { AHEAD_MOST } else { AHEAD };
-        if held >= most {
+        let max_unparsed = if self.read_ahead_memory.is_some() { MAX_READ_AHEAD } else { MIN_READ_AHEAD };
+        if unparsed >= max_unparsed {
             self.reader.seal();
         }
-        self.reader.fill(by(BEHIND))
+        self.reader.fill(by(ANSWER_POLL_INTERVAL))
     }
 
-    fn note_behind(&self, behind: bool) {
-        self.writer.iter().for_each(|writer| writer.exchange().behind = behind);
+    fn note_pipelined_bytes(&self, has_pipelined_bytes: bool) {
+        if let Some(writer) = &self.writer {
+            writer.exchange().has_pipelined_bytes = has_pipelined_bytes;
+        }
     }
 
-    /// Whether the held stream's answer has been written, or its client has left.
-    fn look_for_answer(&mut self, stream: StreamId, filled: Result<bool, HttpError>) -> Next {
-        let Some(writer) = &self.writer else { return Next::End };
-        let stays = matches!(filled, Ok(true) | Err(HttpError::Late));
-        let became = match writer.written.try_recv() {
-            Ok(became) => became,
-            Err(_) if stays => return Next::Again,
+    /// Checks whether the answer of the stream in flight has been written, or its client has disconnected.
+    fn check_answer(&mut self, stream: StreamId, filled: Result<bool, HttpError>) -> NextStep {
+        let Some(writer) = &self.writer else { return NextStep::End };
+        let is_connected = matches!(filled, Ok(true) | Err(HttpError::TimedOut));
+        let result = match writer.results.try_recv() {
+            Ok(result) => result,
+            Err(_) if is_connected => return NextStep::Continue,
             Err(_) => {
-                writer.exchange().held = None;
+                writer.exchange().in_flight = None;
                 self.front.inbox.post(Input::ClientDisconnected(stream));
-                return Next::End;
+                return NextStep::End;
             }
         };
-        let kept = writer.exchange().spare.take().is_none_or(SheddableConnection::reclaim);
-        match became {
-            Written::Kept if kept => self.pending = None,
-            Written::Broken => return Next::End,
-            // What came behind the last word is not taken: nobody would hear of it.
-            Written::Kept | Written::Closed => return Next::Close,
+        let is_kept = writer.exchange().sheddable.take().is_none_or(SheddableConnection::reclaim);
+        match result {
+            WriteResult::KeptOpen if is_kept => self.pending = None,
+            WriteResult::Failed => return NextStep::End,
+            // What follows the last answer is not processed: its client would get no response.
+            WriteResult::KeptOpen | WriteResult::Closing => return NextStep::Close,
         }
-        if stays { Next::Again } else { Next::End }
+        if is_connected { NextStep::Continue } else { NextStep::End }
     }
 
-    /// Reads a whole message and does what it asks for.
-    fn take_message(&mut self) -> Next {
-        let due = match (self.hello, self.reader.began()) {
-            (Some(due), _) => due,
+    /// Reads a complete message and processes it.
+    fn take_message(&mut self) -> NextStep {
+        let deadline = match (self.first_request_deadline, self.reader.first_byte_at()) {
+            (Some(deadline), _) => deadline,
             (None, Some(began)) => began + REQUEST_READ_TIMEOUT,
             (None, None) => by(REQUEST_READ_TIMEOUT),
         };
-        match self.read_message(due) {
-            Ok((message, bulk)) => self.take(message, bulk),
-            Err(bad) => self.reject(bad),
+        let head = self.reader.read_request_head(deadline);
+        let request = head.and_then(|head| {
+            let memory = BodyMemory::reserve(self.front, head.message.max_body_beyond_read());
+            let memory = memory.ok_or(HttpError::Status(503))?;
+            let message = self.reader.read_request_body(head, deadline)?;
+            Ok((message, memory))
+        });
+        match request {
+            Ok((message, memory)) => self.process(message, memory),
+            Err(error) => self.reject(error),
         }
     }
 
-    fn read_message(&mut self, due: Micros) -> Result<(Message, Bulk), HttpError> {
-        let head = self.reader.request(due)?;
-        let bulk = Bulk::new(self.front, head.0.bulk()).ok_or(HttpError::Status(503))?;
-        Ok((self.reader.request_body(head, due)?, bulk))
-    }
-
-    /// Answers what is no message, and ends the connection.
-    fn reject(&mut self, bad: HttpError) -> Next {
-        let status = match bad {
+    /// Responds to an invalid or incomplete message, and closes the connection.
+    fn reject(&mut self, error: HttpError) -> NextStep {
+        let status = match error {
             HttpError::Status(status) => status,
-            HttpError::Late => 408,
-            HttpError::Ended | HttpError::Broken => {
-                let partial = !self.reader.is_empty();
-                tracing::debug!(peer = %self.peer, partial, "connection ended: {bad:?}");
-                return if self.reader.is_sealed() { Next::Close } else { Next::End };
+            HttpError::TimedOut => 408,
+            HttpError::Closed | HttpError::ConnectionLost => {
+                let is_partial = !self.reader.is_empty();
+                tracing::debug!(peer = %self.peer, is_partial, reason = %error, "client connection ended");
+                return if self.reader.is_sealed() { NextStep::Close } else { NextStep::End };
             }
         };
-        let held: Vec<u8> = self.reader.held().iter().take(160).copied().collect();
-        let (peer, first) = (self.peer, self.hello.is_some());
-        tracing::debug!(%peer, status, first, held = %held.escape_ascii(), "request not read whole: {bad:?}");
-        match http::respond(&self.socket, status, after(status), b"", true, by(CLOSING_TIMEOUT)) {
-            Ok(()) => Next::Close,
-            Err(_) => Next::End,
+        self.log_rejected(status, error);
+        let response = Response { status, headers: retry_after(status), close: true, ..Response::default() };
+        match write_response(&self.socket, &response, by(CLOSING_TIMEOUT)) {
+            Ok(()) => NextStep::Close,
+            Err(_) => NextStep::End,
         }
     }
 
-    fn take(&mut self, message: Message, bulk: Bulk) -> Next {
-        let wanted = message.close;
-        match self.route(message, bulk) {
-            Routed::Held(stream) => (self.pending, self.hello) = (Some(stream), None),
-            Routed::Shed => return Next::Close,
-            Routed::Reply(status, more, body) => {
-                // Whose first word made no sense need not stay.
-                let astray = self.hello.is_some() && (400..500).contains(&status);
-                // A further request that has been read is owed an answer, too.
-                let ends = self.front.inbox.is_closing_connections() && self.reader.is_empty();
-                let close = wanted || astray || ends;
-                let sent =
-                    http::respond(&self.socket, status, more, body.as_bytes(), close, by(CLOSING_TIMEOUT));
-                if close || sent.is_err() {
-                    return Next::Close;
-                }
-                self.hello = None;
-                self.unidentified.take_if(|_| status == CALLED_BACK);
+    fn log_rejected(&self, status: u16, error: HttpError) {
+        let unparsed = self.reader.unparsed();
+        let start = &unparsed[..unparsed.len().min(LOGGED_BYTES)];
+        tracing::debug!(
+            peer = %self.peer,
+            status,
+            is_first = self.first_request_deadline.is_some(),
+            start = %start.escape_ascii(),
+            reason = %error,
+            "request rejected before it was complete"
+        );
+    }
+
+    fn process(&mut self, message: Message, memory: BodyMemory) -> NextStep {
+        let close_requested = message.close;
+        match self.route(message, memory) {
+            Routed::InFlight(stream) => {
+                self.pending = Some(stream);
+                self.first_request_deadline = None;
+                NextStep::Continue
             }
+            Routed::Shed => NextStep::Close,
+            Routed::Reply(reply) => self.reply(&reply, close_requested),
         }
-        Next::Again
     }
 
-    fn route(&mut self, message: Message, bulk: Bulk) -> Routed {
-        let front = self.front;
-        let (method, target) = (message.text(&message.method), message.text(&message.target));
+    fn reply(&mut self, reply: &LocalReply, close_requested: bool) -> NextStep {
+        let LocalReply { status, headers, body } = *reply;
+        // A client whose first request is invalid is not kept.
+        let is_invalid_first = self.first_request_deadline.is_some() && (400..500).contains(&status);
+        // A further request that has been read is owed a response, too.
+        let is_shutting_down = self.front.inbox.is_closing_connections() && self.reader.is_empty();
+        let close = close_requested || is_invalid_first || is_shutting_down;
+        let response = Response { status, headers, body: body.as_bytes(), close };
+        let written = write_response(&self.socket, &response, by(CLOSING_TIMEOUT));
+        if close || written.is_err() {
+            return NextStep::Close;
+        }
+        self.first_request_deadline = None;
+        if status == CALLBACK_ACCEPTED {
+            self.unidentified = None;
+        }
+        NextStep::Continue
+    }
+
+    fn route(&mut self, message: Message, memory: BodyMemory) -> Routed {
+        let method = message.text(&message.method);
+        let target = message.text(&message.target);
         let path = target.split('?').next().unwrap_or("");
         match (method, path) {
-            ("POST", callbacks::PATH) => {
-                let known = callbacks::take(message.body(), &front.site, &front.inbox, front.inherited);
-                Routed::Reply(if known { CALLED_BACK } else { 400 }, "", "")
-            }
-            ("GET", "/health/ready") => {
-                let ready = front.inbox.has_ready_host() && front.inbox.shutdown_requested_at().is_none();
-                Routed::Reply(if ready { 200 } else { 503 }, "", front.metrics.stage().description())
-            }
-            ("POST", _) => self.hold(message, bulk),
-            (_, callbacks::PATH) => Routed::Reply(405, "Allow: POST\r\n", ""),
-            (_, "/health/ready") => Routed::Reply(405, "Allow: GET\r\n", ""),
-            _ => Routed::Reply(404, "", ""),
+            ("POST", callbacks::PATH) => self.take_callback(&message),
+            ("GET", READY_PATH) => self.readiness(),
+            ("POST", _) => self.submit(message, memory),
+            (_, callbacks::PATH) => Routed::method_not_allowed("Allow: POST\r\n"),
+            (_, READY_PATH) => Routed::method_not_allowed("Allow: GET\r\n"),
+            _ => Routed::reply(404),
         }
     }
 
-    /// Makes a stream of a request.
-    fn hold(&mut self, message: Message, bulk: Bulk) -> Routed {
-        let (front, close) = (self.front, message.close);
-        let Some(new) = stream_of(front, message, self.peer) else { return Routed::Reply(400, "", "") };
+    fn take_callback(&self, message: &Message) -> Routed {
+        let Front { site, inbox, inherited, .. } = &**self.front;
+        let is_valid = callbacks::post(message.body(), site, inbox, *inherited);
+        Routed::reply(if is_valid { CALLBACK_ACCEPTED } else { 400 })
+    }
+
+    fn readiness(&self) -> Routed {
+        let inbox = &self.front.inbox;
+        let is_ready = inbox.has_ready_host() && inbox.shutdown_requested_at().is_none();
+        let status = if is_ready { 200 } else { 503 };
+        Routed::Reply(LocalReply { status, headers: "", body: self.front.metrics.stage().description() })
+    }
+
+    /// Submits the stream of a request to the owner thread.
+    fn submit(&mut self, message: Message, memory: BodyMemory) -> Routed {
+        let front = self.front;
+        let close_requested = message.close;
+        let Some(new) = parse_stream(front, message, self.peer) else { return Routed::reply(400) };
         let class = new.class.0 as usize;
-        let Some(held) = Held::new(front, bulk) else {
-            front.metrics.job_ended(class, JobResult::Deferred, false);
-            return Routed::Reply(503, after(503), "");
+        let Some(in_flight) = InFlightStream::admit(front, memory) else {
+            return self.defer(class);
         };
-        // Whose request is passed on has to stay for the answer.
-        if self.unidentified.take().is_some_and(|spare| !spare.reclaim()) {
+        // The client of a request that is forwarded must stay for the answer.
+        if self.unidentified.take().is_some_and(|sheddable| !sheddable.reclaim()) {
             return Routed::Shed;
         }
         let writer = self.writer.get_or_insert_with(|| Writer::start(front, &self.socket));
-        (writer.exchange().held, writer.exchange().close) = (Some(held), close);
+        writer.exchange().in_flight = Some(in_flight);
+        writer.exchange().close_requested = close_requested;
         let id = front.inbox.stream_id();
         let new = NewStream { id, downstream: writer.downstream(&front.inbox), ..new };
         if !front.inbox.submit(Box::new(new)) {
-            // The process ends, and this stream came a moment too late.
-            writer.exchange().held = None;
-            front.metrics.job_ended(class, JobResult::Deferred, false);
-            return Routed::Reply(503, after(503), "");
+            // The process is ending, and this stream came just too late.
+            writer.exchange().in_flight = None;
+            return self.defer(class);
         }
-        Routed::Held(id)
+        Routed::InFlight(id)
+    }
+
+    /// Rejects a request that the client may send again.
+    fn defer(&self, class: usize) -> Routed {
+        self.front.metrics.job_ended(class, JobResult::Deferred, false);
+        Routed::reply(503)
     }
 
-    /// Lets the last answer arrive: closing with bytes unread would reset the connection under it.
+    /// Lets the last response arrive: closing with unread bytes would reset the connection before that.
     fn close(&mut self) {
-        let _spare = self.front.connections.spare(ShedPriority::Closing, &self.socket);
-        self.socket.finish();
-        let (last, mut left) = (by(CLOSING_MOST), CLOSING_BYTES);
-        while left > 0 && self.reader.skip(by(CLOSING_TIMEOUT).min(last)) == Ok(true) {
-            left = left.saturating_sub(self.reader.held().len());
+        let _sheddable = self.front.connections.spare(ShedPriority::Closing, &self.socket);
+        self.socket.shut_down_writes();
+        let deadline = by(MAX_CLOSING_TIME);
+        let mut left = MAX_CLOSING_BYTES;
+        while left > 0 && self.reader.discard_and_fill(by(CLOSING_TIMEOUT).min(deadline)) == Ok(true) {
+            left = left.saturating_sub(self.reader.unparsed().len());
         }
     }
 }
 
-/// What a local reply says further: when there may be room again.
-fn after(status: u16) -> &'static str {
+/// The header that tells when a request may be sent again, for a status that means so.
+fn retry_after(status: u16) -> &'static str {
     if status == 503 { "Retry-After: 1\r\n" } else { "" }
 }
--- a/dispatcher/src/wire/front/request.rs
+++ b/dispatcher/src/wire/front/request.rs
@@ -1,4 +1,4 @@
-//! What a client's request asks for.
+//! The stream that a client's request asks for.
 
 use super::Front;
 use crate::core::{Answer, Downstream, NewStream, Payload};
@@ -8,60 +8,72 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The longest patience that is believed, in seconds; who would wait longer has this.
-const PATIENCE: f64 = 3600.0;
-/// Headers that say one thing: two that differ make no sense.
-const SINGLE: [&str; 5] = ["x-call-id", "x-call-class", "x-caller", "x-budget", "idempotency-key"];
+/// Longest time budget of a request, in seconds; a longer one is reduced to this.
+const MAX_BUDGET: f64 = 3600.0;
+/// Headers with a single value: a request with two different ones is invalid.
+const SINGLE_VALUE_HEADERS: [&str; 5] =
+    ["x-call-id", "x-call-class", "x-caller", "x-budget", "idempotency-key"];
 
-/// Nobody's side: a place holder until the stream's own is known.
-struct Nobody;
+/// A placeholder until the stream's own downstream is known.
+struct NoDownstream;
 
-impl Downstream for Nobody {
+impl Downstream for NoDownstream {
     fn answer(&self, _: Answer, _: u32) {}
 }
 
-/// A further figure of a request, from `name=value,name=value`.
-fn figure(info: &str, name: &str) -> Option<f64> {
-    let pairs = info.split(',').filter_map(|p| p.split_once('='));
-    let named = pairs.filter(|(n, _)| n.trim() == name).filter_map(|(_, v)| v.trim().parse::<f64>().ok());
-    named.into_iter().find(|v| v.is_finite() && *v >= 0.0)
+/// A figure of `X-Call-Info`, which is `name=value,name=value`. None if it is missing, negative or not finite.
+fn parse_figure(info: &str, name: &str) -> Option<f64> {
+    let pairs = info.split(',').filter_map(|pair| pair.split_once('='));
+    let values = pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value);
+    let mut figures = values.filter_map(|value| value.trim().parse::<f64>().ok());
+    figures.find(|figure| figure.is_finite() && *figure >= 0.0)
 }
 
-/// A guess at the work, in seconds, from `X-Call-Cost`, which gives it in microseconds.
-fn work_hint(cost: &str) -> Option<f64> {
+/// The work hint in seconds, from `X-Call-Cost`, which is in microseconds.
+fn parse_work_hint(cost: &str) -> Option<f64> {
     let microseconds = cost.parse::<f64>().ok()?;
     Some(microseconds / SECOND as f64)
 }
 
-/// The stream of a request; none where a part that it needs is missing or makes no sense.
-pub(super) fn stream_of(front: &Front, message: Message, peer: SocketAddr) -> Option<NewStream> {
-    if SINGLE.iter().any(|name| message.contradicts(name)) {
+/// The time budget in seconds.
+fn parse_budget(message: &Message) -> Option<f64> {
+    let budget: f64 = message.header_value("x-budget")?.parse().ok()?;
+    (budget.is_finite() && budget >= 0.0).then_some(budget)
+}
+
+/// The key of what a request concerns: the last segment of its path, after the first one, which names the service.
+fn parse_key(message: &Message) -> Option<KeyId> {
+    let path = message.text(&message.target).split('?').next().unwrap_or("");
+    let (_service, rest) = path.trim_start_matches('/').split_once('/')?;
+    let key = rest.rsplit('/').next()?;
+    (!key.is_empty()).then(|| KeyId(fnv(key.as_bytes())))
+}
+
+/// The stream of a request; none if a required part is missing or invalid.
+pub(super) fn parse_stream(front: &Front, message: Message, peer: SocketAddr) -> Option<NewStream> {
+    if SINGLE_VALUE_HEADERS.iter().any(|name| message.has_conflicting_values(name)) {
         return None;
     }
-    let id = message.header("x-call-id").filter(|id| !message.text(id).trim().is_empty())?;
-    let class = front.site.classes.known(message.value("x-call-class")?)?;
-    let budget: f64 = message.value("x-budget")?.parse().ok().filter(|b: &f64| b.is_finite() && *b >= 0.0)?;
-    let tenant = message.value("x-caller").and_then(|t| front.site.tenants.known(t));
-    let info = message.value("x-call-info").unwrap_or("");
-    let path = message.text(&message.target).split('?').next().unwrap_or("");
-    // The first part names the service; what follows it is what the request concerns.
-    let key = path.trim_start_matches('/').split_once('/').and_then(|(_, rest)| rest.rsplit('/').next());
-    let key = key.filter(|k| !k.is_empty()).map(|k| KeyId(fnv(k.as_bytes())));
+    let id = message.header_range("x-call-id").filter(|id| !message.text(id).trim().is_empty())?;
+    let class = front.site.classes.known(message.header_value("x-call-class")?)?;
+    let budget = parse_budget(&message)?;
+    let tenant = message.header_value("x-caller").and_then(|name| front.site.tenants.known(name));
+    let info = message.header_value("x-call-info").unwrap_or("");
     Some(NewStream {
         id: 0,
         fleet: front.fleet,
         class: ClassId(class as u16),
-        tenant: tenant.map(|t| TenantId(t as u16)),
-        key,
-        slots: figure(info, "slots").unwrap_or(1.0),
-        memory: figure(info, "memory").unwrap_or(0.0),
-        hint: message.value("x-call-cost").and_then(work_hint),
+        tenant: tenant.map(|index| TenantId(index as u16)),
+        key: parse_key(&message),
+        slots: parse_figure(info, "slots").unwrap_or(1.0),
+        memory: parse_figure(info, "memory").unwrap_or(0.0),
+        hint: message.header_value("x-call-cost").and_then(parse_work_hint),
         prior_attempts: 0,
-        deadline: message.arrived + (budget.min(PATIENCE) * SECOND as f64) as Micros,
+        deadline: message.received_at + (budget.min(MAX_BUDGET) * SECOND as f64) as Micros,
         peer,
-        downstream: Box::new(Nobody),
+        downstream: Box::new(NoDownstream),
         payload: Arc::new(Payload {
-            idempotency_key: message.header("idempotency-key").unwrap_or_default(),
+            idempotency_key: message.header_range("idempotency-key").unwrap_or_default(),
             id,
             method: message.method,
             target: message.target,
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -1,27 +1,28 @@
-//! The writing side of a client's connection: answers, one after another.
+//! The writing side of a client's connection: one answer after another.
 
 use super::Front;
-use super::room::Held;
+use super::reservations::InFlightStream;
 use crate::core::{Answer, Downstream, Inbox};
 use crate::wire::connection_limiter::{ShedPriority, SheddableConnection};
-use crate::wire::http::{self, by};
+use crate::wire::http::{Response, by, write_response};
 use crate::wire::socket::Socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use parking_lot::{Mutex, MutexGuard};
 use roselock::{Micros, SECOND};
+use std::io;
 use std::sync::Arc;
 
-/// How long an answer may take to go out.
-const TRANSFER: Micros = 10 * SECOND;
+/// How long writing an answer may take, in microseconds.
+const WRITE_TIMEOUT: Micros = 10 * SECOND;
 
-/// Sends answers to a connection's writer.
+/// Passes answers on to the writer of a connection.
 struct AnswerSender {
     inbox: Inbox,
     answers: Sender<Answer>,
 }
 
 impl Downstream for AnswerSender {
-    fn answer(&self, answer: Answer, _ran: u32) {
+    fn answer(&self, answer: Answer, _attempts_run: u32) {
         self.inbox.response_pending();
         if self.answers.send(answer).is_err() {
             self.inbox.response_written();
@@ -29,58 +30,60 @@
     }
 }
 
-/// A connection's writer, started with its first stream.
+/// The writer of a connection, started with its first stream.
 pub(super) struct Writer {
     answers: Sender<Answer>,
-    /// What became of each answer.
-    pub(super) written: Receiver<Written>,
+    /// The result of each answer.
+    pub(super) results: Receiver<WriteResult>,
     exchange: Arc<Mutex<Exchange>>,
 }
 
-/// What became of an answer.
+/// The result of writing an answer.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Written {
-    /// The connection stays for the next stream.
-    Kept,
-    /// It was the last word: what comes behind it is not taken.
-    Closed,
+pub(super) enum WriteResult {
+    /// Written; the connection stays open for the next stream.
+    KeptOpen,
+    /// Written; it was the last answer, and what follows it is not processed.
+    Closing,
     /// It could not be written.
-    Broken,
+    Failed,
 }
 
-/// The exchange on a connection, as its reader and its writer share it. While the dispatcher holds a stream, the client
-/// waits; after the answer the client may be long in coming back, so the connection may be shed. The reader only learns
-/// of that when more comes in.
+/// The exchange on a connection, which its reader and its writer share. A client waits while its stream is in flight. After
+/// the answer its next request may be a long time in coming, so the connection may be shed, which the reader only learns
+/// when more arrives.
 #[derive(Default)]
 pub(super) struct Exchange {
-    /// The stream whose answer is yet to be written.
-    pub(super) held: Option<Held>,
-    /// The client wants the connection to end with this answer.
-    pub(super) close: bool,
-    /// Something of the next request has been read: it is owed an answer, so the connection goes on.
-    pub(super) behind: bool,
-    /// The connection may go.
-    pub(super) spare: Option<SheddableConnection>,
+    /// The stream whose answer is not written yet.
+    pub(super) in_flight: Option<InFlightStream>,
+    /// The client wants the connection to close after this answer.
+    pub(super) close_requested: bool,
+    /// A part of the next request has been read: it is owed an answer, so the connection is kept.
+    pub(super) has_pipelined_bytes: bool,
+    /// Set while the connection may be shed.
+    pub(super) sheddable: Option<SheddableConnection>,
 }
 
 impl Writer {
     /// Starts the writer of a connection.
     pub(super) fn start(front: &Arc<Front>, socket: &Socket) -> Writer {
-        let (answers, posted) = channel::<Answer>();
-        let (done, written) = channel();
+        let (answers, pending_answers) = channel::<Answer>();
+        let (result_sender, results) = channel();
         let exchange = Arc::<Mutex<Exchange>>::default();
-        let (front, socket, shared) = (front.clone(), socket.clone(), exchange.clone());
+        let writer = Writer { answers, results, exchange: exchange.clone() };
+        let front = front.clone();
+        let socket = socket.clone();
         may::go!(move || {
-            while let Ok(answer) = posted.recv() {
-                let became = write_and_end(&front, &socket, &shared, &answer);
-                // From here on the process may end: the connection is among those that are told so.
+            while let Ok(answer) = pending_answers.recv() {
+                let result = process_answer(&front, &socket, &exchange, &answer);
+                // From here on the process may end, which closes the connection in an orderly way.
                 front.inbox.response_written();
-                if done.send(became).is_err() {
+                if result_sender.send(result).is_err() {
                     break;
                 }
             }
         });
-        Writer { answers, written, exchange }
+        writer
     }
 
     /// What the reader and the writer share.
@@ -88,51 +91,61 @@
         self.exchange.lock()
     }
 
-    /// The way for a stream's answer.
+    /// Where the answer of a stream goes.
     pub(super) fn downstream(&self, inbox: &Inbox) -> Box<dyn Downstream> {
         Box::new(AnswerSender { inbox: inbox.clone(), answers: self.answers.clone() })
     }
 }
 
-/// Writes an answer, ends the connection if it was its last word, and notes whether it may be shed from now on.
-fn write_and_end(front: &Arc<Front>, socket: &Socket, shared: &Mutex<Exchange>, answer: &Answer) -> Written {
-    // Who borrows the id of another's stream need not stay.
-    let astray = *answer == Answer::Conflict;
-    let (wanted, behind) = {
-        let exchange = shared.lock();
-        (exchange.close, exchange.behind)
+/// Writes an answer, closes the connection if it was the last one, and marks it as sheddable unless it is needed.
+fn process_answer(
+    front: &Arc<Front>,
+    socket: &Socket,
+    shared: &Mutex<Exchange>,
+    answer: &Answer,
+) -> WriteResult {
+    let must_close = must_close(front, &shared.lock(), answer);
+    let result = match write_answer(socket, answer, must_close) {
+        Ok(()) if must_close => WriteResult::Closing,
+        Ok(()) => WriteResult::KeptOpen,
+        Err(_) => WriteResult::Failed,
     };
-    let close = astray || wanted || (front.inbox.is_closing_connections() && !behind);
-    let became = match write_answer(socket, answer, close) {
-        Ok(()) if close => Written::Closed,
-        Ok(()) => Written::Kept,
-        Err(_) => Written::Broken,
-    };
-    match became {
-        Written::Kept => {}
-        Written::Closed => socket.finish(),
-        Written::Broken => socket.close(),
+    match result {
+        WriteResult::KeptOpen => {}
+        WriteResult::Closing => socket.shut_down_writes(),
+        WriteResult::Failed => socket.close(),
     }
     let mut exchange = shared.lock();
-    // A request that has been read is owed an answer: its connection is not among those that may go.
-    let needed = became == Written::Kept && exchange.behind;
-    let rank = if close { ShedPriority::Closing } else { ShedPriority::Idle };
-    let spare = (!needed).then(|| front.connections.spare(rank, socket));
-    *exchange = Exchange { spare, ..Exchange::default() };
-    became
+    // A request that has been read is owed an answer: its connection must not be shed.
+    let is_needed = result == WriteResult::KeptOpen && exchange.has_pipelined_bytes;
+    let priority = if must_close { ShedPriority::Closing } else { ShedPriority::Idle };
+    let sheddable = (!is_needed).then(|| front.connections.spare(priority, socket));
+    *exchange = Exchange { sheddable, ..Exchange::default() };
+    result
+}
+
+/// Whether the connection closes after this answer.
+fn must_close(front: &Front, exchange: &Exchange, answer: &Answer) -> bool {
+    // A client that reuses the id of another's stream is not kept.
+    let is_conflict = *answer == Answer::Conflict;
+    let is_shutting_down = front.inbox.is_closing_connections() && !exchange.has_pipelined_bytes;
+    is_conflict || exchange.close_requested || is_shutting_down
 }
 
-fn write_answer(socket: &Socket, answer: &Answer, close: bool) -> std::io::Result<()> {
-    let by = by(TRANSFER);
+fn write_answer(socket: &Socket, answer: &Answer, close: bool) -> io::Result<()> {
+    let deadline = by(WRITE_TIMEOUT);
+    let respond = |status, headers: &str, body: &[u8]| {
+        write_response(socket, &Response { status, headers, body, close }, deadline)
+    };
     match answer {
-        Answer::Served(body) => http::respond(socket, 200, "", body, close, by),
-        Answer::Rejected(0) => http::respond(socket, 503, "", b"", close, by),
-        Answer::Rejected(after) => {
-            let after = format!("Retry-After: {:.3}\r\n", *after as f64 / SECOND as f64);
-            http::respond(socket, 503, &after, b"", close, by)
+        Answer::Served(body) => respond(200, "", body),
+        Answer::Rejected(0) => respond(503, "", b""),
+        Answer::Rejected(retry_after) => {
+            let retry_after = *retry_after as f64 / SECOND as f64;
+            respond(503, &format!("Retry-After: {retry_after:.3}\r\n"), b"")
         }
-        Answer::Conflict => http::respond(socket, 409, "", b"", close, by),
-        Answer::Failed => http::respond(socket, 500, "", b"", close, by),
-        Answer::TimedOut => http::respond(socket, 504, "", b"", close, by),
+        Answer::Conflict => respond(409, "", b""),
+        Answer::Failed => respond(500, "", b""),
+        Answer::TimedOut => respond(504, "", b""),
     }
 }
--- /dev/null
+++ b/dispatcher/src/wire/http/reader.rs
@@ -0,0 +1,209 @@
+//! Reads messages from a connection.
+
+use super::head::{self, Head, ParsedHead};
+use super::message::Message;
+use super::read_buffer::ReadBuffer;
+use super::{HttpError, MAX_BODY, MAX_HEAD, chunked};
+use crate::wire::socket::Socket;
+use roselock::Micros;
+
+/// Most interim responses (1xx) before the final one.
+const MAX_INTERIM_RESPONSES: u32 = 16;
+
+/// Reads messages from a connection.
+pub struct Reader {
+    buffer: ReadBuffer,
+    /// Longest body, in bytes.
+    max_body: usize,
+}
+
+impl Reader {
+    /// A reader at the start of a connection, for bodies of up to [`MAX_BODY`] bytes.
+    pub fn new(socket: Socket) -> Reader {
+        Reader::with_max_body(socket, MAX_BODY)
+    }
+
+    /// A reader for bodies of up to `max_body` bytes.
+    pub fn with_max_body(socket: Socket, max_body: usize) -> Reader {
+        Reader { buffer: ReadBuffer::new(socket), max_body }
+    }
+
+    /// The bytes that were read and not parsed yet.
+    pub fn unparsed(&self) -> &[u8] {
+        self.buffer.bytes()
+    }
+
+    /// Whether all bytes that were read have been parsed.
+    pub fn is_empty(&self) -> bool {
+        self.unparsed().is_empty()
+    }
+
+    /// Discards what is read from now on; unparsed bytes stay.
+    pub fn seal(&mut self) {
+        self.buffer.seal();
+    }
+
+    /// Whether what is read is discarded, see [`Reader::seal`].
+    pub fn is_sealed(&self) -> bool {
+        self.buffer.is_sealed()
+    }
+
+    /// When the first unparsed byte was read.
+    pub fn first_byte_at(&self) -> Option<Micros> {
+        self.buffer.first_byte_at()
+    }
+
+    /// Removes empty lines between messages (RFC 9112, 2.2).
+    pub fn skip_blank_lines(&mut self) {
+        let blank = self.unparsed().iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        self.buffer.advance(blank);
+    }
+
+    /// Reads once; false at the end of the connection.
+    ///
+    /// # Errors
+    /// The deadline passed, or the connection failed.
+    pub fn fill(&mut self, deadline: Micros) -> Result<bool, HttpError> {
+        self.buffer.fill(deadline)
+    }
+
+    /// Removes the unparsed bytes and reads once; false at the end of the connection.
+    ///
+    /// # Errors
+    /// The deadline passed, or the connection failed.
+    pub fn discard_and_fill(&mut self, deadline: Micros) -> Result<bool, HttpError> {
+        self.buffer.unseal();
+        self.buffer.advance(self.buffer.bytes().len());
+        self.fill(deadline)
+    }
+
+    /// Reads the head of a request.
+    ///
+    /// # Errors
+    /// No valid head came before the deadline.
+    pub fn read_request_head(&mut self, deadline: Micros) -> Result<Head, HttpError> {
+        self.read_head(deadline, head::parse_request)
+    }
+
+    /// Reads the body of a request, after `100 Continue` where the client waits for that.
+    ///
+    /// # Errors
+    /// No valid body came before the deadline.
+    pub fn read_request_body(&mut self, head: Head, deadline: Micros) -> Result<Message, HttpError> {
+        let Head { mut message, end } = head;
+        let framing = &message.framing;
+        let is_incomplete = |length| self.unparsed().len() < end + length;
+        if framing.expects_continue && framing.content_length.is_some_and(is_incomplete) {
+            let written = self.buffer.socket.write(&[b"HTTP/1.1 100 Continue\r\n\r\n"], deadline);
+            written.map_err(|_| HttpError::ConnectionLost)?;
+        }
+        self.read_body(&mut message, end, deadline)?;
+        Ok(message)
+    }
+
+    /// Reads a complete response; interim ones are skipped.
+    ///
+    /// # Errors
+    /// No valid response came before the deadline.
+    pub fn read_response(&mut self, deadline: Micros) -> Result<Message, HttpError> {
+        let Head { mut message, end } = self.read_final_head(deadline)?;
+        if matches!(message.status, 204 | 304) {
+            message.framing.content_length = Some(0);
+            message.framing.is_chunked = false;
+        }
+        // Without a length the body ends with the connection.
+        if message.framing.content_length.is_none() && !message.framing.is_chunked {
+            message.close = true;
+            while self.unparsed().len() < end + self.max_body && self.fill(deadline)? {}
+            message.framing.content_length = Some(self.unparsed().len() - end);
+        }
+        self.read_body(&mut message, end, deadline)?;
+        Ok(message)
+    }
+
+    /// Reads the head of a response whose chunks are read one at a time.
+    ///
+    /// # Errors
+    /// No valid head came before the deadline.
+    pub fn read_stream_head(&mut self, deadline: Micros) -> Result<Message, HttpError> {
+        let Head { message, end } = self.read_head(deadline, head::parse_response)?;
+        self.buffer.advance(end);
+        Ok(message)
+    }
+
+    /// Appends the bytes of the next chunk, of which there may be at most `max_size`; false after the last chunk.
+    ///
+    /// # Errors
+    /// No valid chunk came before the deadline, or it is too large.
+    pub fn read_chunk(
+        &mut self,
+        into: &mut Vec<u8>,
+        max_size: usize,
+        deadline: Micros,
+    ) -> Result<bool, HttpError> {
+        chunked::read_chunk(&mut self.buffer, into, max_size, deadline)
+    }
+
+    /// Reads the head of a response that is not an interim one.
+    fn read_final_head(&mut self, deadline: Micros) -> Result<Head, HttpError> {
+        let mut interim_responses = 0;
+        loop {
+            let head = self.read_head(deadline, head::parse_response)?;
+            if !(100..200).contains(&head.message.status) {
+                return Ok(head);
+            }
+            self.buffer.advance(head.end);
+            interim_responses += 1;
+            if interim_responses > MAX_INTERIM_RESPONSES {
+                return Err(HttpError::Status(502));
+            }
+        }
+    }
+
+    fn read_head(&mut self, deadline: Micros, parse: fn(&[u8]) -> ParsedHead) -> Result<Head, HttpError> {
+        loop {
+            if !self.is_empty() {
+                if let Some(mut head) = parse(self.unparsed())? {
+                    let framed = head.message.parse_framing(self.buffer.bytes(), self.max_body);
+                    framed.map_err(HttpError::Status)?;
+                    return Ok(head);
+                }
+                if self.unparsed().len() > MAX_HEAD {
+                    return Err(HttpError::Status(431));
+                }
+            }
+            self.buffer.fill_more(deadline)?;
+        }
+    }
+
+    /// Moves the head, which ends at `head_end`, and the body out of the buffer into the message.
+    fn read_body(
+        &mut self,
+        message: &mut Message,
+        head_end: usize,
+        deadline: Micros,
+    ) -> Result<(), HttpError> {
+        if message.framing.is_chunked {
+            message.raw = self.read_chunks(head_end, deadline)?;
+            message.body = head_end..message.raw.len();
+        } else {
+            let end = head_end + message.framing.content_length.unwrap_or(0);
+            self.buffer.fill_to(end, deadline)?;
+            message.raw = self.buffer.split(end);
+            message.body = head_end..end;
+        }
+        message.received_at = self.buffer.last_removed_at();
+        Ok(())
+    }
+
+    /// The head, followed by the data of all chunks.
+    fn read_chunks(&mut self, head_end: usize, deadline: Micros) -> Result<Vec<u8>, HttpError> {
+        let mut raw = self.buffer.split(head_end);
+        loop {
+            let max_size = head_end + self.max_body - raw.len();
+            if !self.read_chunk(&mut raw, max_size, deadline)? {
+                return Ok(raw);
+            }
+        }
+    }
+}
--- a/dispatcher/src/wire/socket.rs
+++ b/dispatcher/src/wire/socket.rs
@@ -1,29 +1,31 @@
-//! The thin layer over sockets: absolute deadlines in, spans to the operating system out.
+//! A thin layer over sockets: callers give absolute deadlines, the operating system gets time-outs.
 //!
-//! A coroutine runtime's stream keeps one waiting coroutine a socket. Only a socket's reader ever waits there, by
-//! `peek`; all other calls go to the non-blocking socket itself, so that one side may write, and any side close,
-//! while another waits to read, without a second descriptor.
+//! The stream of the coroutine runtime holds one waiting coroutine for each socket. Only the reader of a socket waits there, in
+//! `peek`; all other calls go to the non-blocking socket itself, so that one coroutine may write, and any close, while another
+//! waits to read, without a second descriptor.
 
 use crate::core::clock;
 use may::net::TcpStream;
 use roselock::Micros;
-use std::io::{self, ErrorKind, IoSlice, Read, Write};
+use std::io::{self, ErrorKind, IoSlice, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 
-/// Why a connection did not come up.
-#[derive(Debug)]
+/// Why a connection could not be opened.
+#[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine is short of something (descriptors, ports, memory), or the call was interrupted: that says nothing of
-    /// the peer.
+    /// A shortage on this machine (descriptors, ports, memory), or an interrupted call: no evidence against the peer.
+    #[error(transparent)]
     Local(io::Error),
-    /// The peer refused it, or could not be reached in time.
+    /// The peer refused the connection, or could not be reached in time.
+    #[error(transparent)]
     Peer(io::Error),
 }
 
 impl From<io::Error> for ConnectError {
-    /// As socket(2) and connect(2) document the numbers.
+    /// Classifies the error numbers as socket(2) and connect(2) document them.
     fn from(error: io::Error) -> ConnectError {
         match error.raw_os_error() {
             Some(
@@ -42,31 +44,46 @@
     }
 }
 
-/// The pauses between tries of what this machine was short of something for: the first, and the longest.
-const LOCAL_RETRY: [Micros; 2] = [2_000, 50_000];
+/// First pause before a retry after a local shortage, in microseconds.
+const INITIAL_PAUSE: Micros = 2_000;
+/// Longest pause between such retries, in microseconds.
+const MAX_PAUSE: Micros = 50_000;
+/// Pause before a further write to a peer whose receive window is full.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(2);
 
-/// The growing pause between such tries.
+/// Exponential backoff of retries after a local shortage.
 #[derive(Clone, Copy, Debug)]
-pub struct LocalRetry(Micros);
+pub struct LocalRetry {
+    next_pause: Micros,
+}
 
 impl Default for LocalRetry {
     fn default() -> LocalRetry {
-        LocalRetry(LOCAL_RETRY[0])
+        LocalRetry { next_pause: INITIAL_PAUSE }
     }
 }
 
 impl LocalRetry {
-    /// Waits before the next try; false, at once, if there is no time for one before the deadline.
+    /// Waits before the next attempt; false, at once, if there is no time for one before the deadline.
     pub fn wait(&mut self, deadline: Micros) -> bool {
-        if clock::now() + self.0 >= deadline {
+        if clock::now() + self.next_pause >= deadline {
             return false;
         }
-        may::coroutine::sleep(Duration::from_micros(self.0 as u64));
-        self.0 = (self.0 * 2).min(LOCAL_RETRY[1]);
+        may::coroutine::sleep(Duration::from_micros(self.next_pause as u64));
+        self.next_pause = (self.next_pause * 2).min(MAX_PAUSE);
         true
     }
 }
 
+/// The result of a read.
+#[derive(Clone, Copy, Debug)]
+pub struct Read {
+    /// Bytes that were read; 0 at the end of the connection.
+    pub bytes: usize,
+    /// Whether it waited for them.
+    pub waited: bool,
+}
+
 /// A connection that several coroutines share.
 #[derive(Clone)]
 pub struct Socket(Arc<TcpStream>);
@@ -77,7 +94,11 @@
         let _ = stream.set_nodelay(true);
         Socket(Arc::new(stream))
     }
+
     /// Opens a connection.
+    ///
+    /// # Errors
+    /// The peer refused it or could not be reached before the deadline, or this machine has a shortage.
     pub fn connect(to: SocketAddr, deadline: Micros) -> Result<Socket, ConnectError> {
         let left = clock::left(deadline);
         if left.is_zero() {
@@ -85,49 +106,72 @@
         }
         Ok(TcpStream::connect_timeout(&to, left).map(Socket::new)?)
     }
-    /// Reads what there is, waiting for the first byte. 0 is the end.
+
+    /// Reads what has arrived, waiting for the first byte. 0 is the end.
+    ///
+    /// # Errors
+    /// The deadline passed, or the connection failed.
     pub fn read(&self, into: &mut [u8], deadline: Micros) -> io::Result<usize> {
-        self.read_or_wait(into, deadline).map(|(read, _)| read)
+        self.read_or_wait(into, deadline).map(|read| read.bytes)
     }
-    /// The same, and whether it waited.
-    pub fn read_or_wait(&self, into: &mut [u8], deadline: Micros) -> io::Result<(usize, bool)> {
+
+    /// Reads what has arrived, waiting for the first byte, and tells whether it waited.
+    ///
+    /// # Errors
+    /// The deadline passed, or the connection failed.
+    pub fn read_or_wait(&self, into: &mut [u8], deadline: Micros) -> io::Result<Read> {
         let mut waited = false;
         loop {
             match self.0.inner().read(into) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    let left = clock::left(deadline);
-                    if left.is_zero() {
-                        return Err(ErrorKind::TimedOut.into());
-                    }
-                    self.0.set_read_timeout(Some(left))?;
+                Ok(bytes) => return Ok(Read { bytes, waited }),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     waited = true;
-                    match self.0.peek(&mut [0]) {
-                        Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
-                        _ => {}
-                    }
+                    self.wait_to_read(deadline)?;
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                done => return done.map(|read| (read, waited)),
+                Err(error) => return Err(error),
             }
         }
     }
-    /// Reads and drops what is there, up to so many bytes, without waiting: a close over unread bytes would reset the
-    /// connection, and what was written last might be lost with it.
-    pub fn drain(&self, mut most: usize) {
+
+    fn wait_to_read(&self, deadline: Micros) -> io::Result<()> {
+        let left = clock::left(deadline);
+        if left.is_zero() {
+            return Err(ErrorKind::TimedOut.into());
+        }
+        self.0.set_read_timeout(Some(left))?;
+        match self.0.peek(&mut [0]) {
+            Err(error) if error.kind() != ErrorKind::Interrupted => Err(error),
+            _ => Ok(()),
+        }
+    }
+
+    /// Reads and discards what has arrived, up to `max_bytes`, without waiting. Closing with unread bytes would reset the
+    /// connection, and what was written last might be lost.
+    pub fn discard_received(&self, max_bytes: usize) {
         let mut bytes = [0; 4096];
-        while most > 0 {
+        let mut left = max_bytes;
+        while left > 0 {
             match self.0.inner().read(&mut bytes) {
-                Ok(n) if n > 0 => most = most.saturating_sub(n),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Ok(count) if count > 0 => left = left.saturating_sub(count),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 _ => return,
             }
         }
     }
-    /// Writes all parts, gathered, however few bytes a call takes.
+
+    /// Writes all parts with gathering writes, as many as it takes.
+    ///
+    /// # Errors
+    /// The deadline passed, or the connection failed.
     pub fn write(&self, parts: &[&[u8]], deadline: Micros) -> io::Result<()> {
         self.write_guarded(parts, deadline, |call| call())
     }
-    /// The same, with each call to the system made by a guard, which may refuse it.
+
+    /// Writes all parts; each system call is made by a guard, which may refuse it.
+    ///
+    /// # Errors
+    /// The deadline passed, the connection failed, or the guard refused a call.
     pub fn write_guarded(
         &self,
         parts: &[&[u8]],
@@ -135,42 +179,46 @@
         mut guard: impl FnMut(&mut dyn FnMut() -> io::Result<usize>) -> io::Result<usize>,
     ) -> io::Result<()> {
         let mut slices: Vec<IoSlice> =
-            parts.iter().filter(|p| !p.is_empty()).map(|p| IoSlice::new(p)).collect();
+            parts.iter().filter(|part| !part.is_empty()).map(|part| IoSlice::new(part)).collect();
         let mut rest = &mut slices[..];
         while !rest.is_empty() {
             match guard(&mut || self.0.inner().write_vectored(rest)) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(n) => IoSlice::advance_slices(&mut rest, n),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // The peer reads too slowly; the reader has the place to wait, so look again in a while.
-                Err(e) if e.kind() == ErrorKind::WouldBlock && !clock::left(deadline).is_zero() => {
-                    may::coroutine::sleep(Duration::from_millis(2));
+                Ok(count) => IoSlice::advance_slices(&mut rest, count),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                // The peer reads too slowly. Only the reader may wait for events of the socket, so this polls.
+                Err(error) if error.kind() == ErrorKind::WouldBlock && !clock::left(deadline).is_zero() => {
+                    may::coroutine::sleep(WRITE_RETRY_PAUSE);
                 }
-                Err(e) => return Err(e),
+                Err(error) => return Err(error),
             }
         }
         Ok(())
     }
-    /// Acknowledges what has come at once, not with the next answer: a peer that holds its next bytes back until then
-    /// (RFC 896) would wait for as long as the system puts it off.
+
+    /// Acknowledges received bytes at once instead of with the next response: a peer that holds back its next bytes until then
+    /// (Nagle's algorithm, RFC 896) would wait for the system's delayed acknowledgement.
     pub fn acknowledge(&self) {
         let _ = socket2::SockRef::from(self.0.inner()).set_tcp_quickack(true);
     }
-    /// Whether an idle connection is still open, with nothing come in.
+
+    /// Whether an idle connection is still open, and nothing has arrived on it.
     pub fn is_quiet(&self) -> bool {
         loop {
             match self.0.inner().peek(&mut [0]) {
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                seen => return matches!(seen, Err(e) if e.kind() == ErrorKind::WouldBlock),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                result => return matches!(result, Err(error) if error.kind() == ErrorKind::WouldBlock),
             }
         }
     }
-    /// Ends both directions; whoever waits to read wakes.
+
+    /// Shuts down both directions; a waiting reader wakes.
     pub fn close(&self) {
         let _ = self.0.shutdown(Shutdown::Both);
     }
-    /// Says that nothing more will be written.
-    pub fn finish(&self) {
+
+    /// Shuts down the writing direction: the peer learns that nothing more will be written.
+    pub fn shut_down_writes(&self) {
         let _ = self.0.shutdown(Shutdown::Write);
     }
 }
--- /dev/null
+++ b/dispatcher/src/wire/upstream/phase.rs
@@ -0,0 +1,104 @@
+//! The phase of a connection, which its coroutine and the owner thread share.
+
+use crate::wire::socket::Socket;
+use parking_lot::Mutex;
+use std::io::{self, ErrorKind};
+use std::sync::Arc;
+
+/// The phase of a connection.
+#[derive(Default)]
+enum Phase {
+    /// The connection is being opened.
+    #[default]
+    Opening,
+    /// A part of a request has not been written yet. An attempt begins with its last byte, so this one has not begun.
+    Writing(Socket),
+    /// The connection is open, and its last request is written completely.
+    Open(Socket),
+    /// The request was aborted or cancelled.
+    Aborted,
+}
+
+/// The request was aborted or cancelled.
+pub(super) struct Aborted;
+
+/// The phase of a connection, which its coroutine and the owner thread share.
+#[derive(Clone, Default)]
+pub(super) struct SharedPhase(Arc<Mutex<Phase>>);
+
+impl SharedPhase {
+    /// Whether the connection is open, with nothing received.
+    pub(super) fn is_open(&self) -> bool {
+        let phase = self.0.lock();
+        matches!(&*phase, Phase::Open(socket) if socket.is_quiet())
+    }
+
+    /// Whether the request was aborted or cancelled.
+    pub(super) fn is_aborted(&self) -> bool {
+        matches!(*self.0.lock(), Phase::Aborted)
+    }
+
+    /// Cancels a request that is not written completely; false if it is.
+    pub(super) fn cancel_unsent(&self) -> bool {
+        let mut phase = self.0.lock();
+        match &*phase {
+            Phase::Opening => {}
+            Phase::Writing(socket) => socket.close(),
+            Phase::Open(_) | Phase::Aborted => return false,
+        }
+        *phase = Phase::Aborted;
+        true
+    }
+
+    /// Closes the connection, whatever its phase.
+    pub(super) fn abort(&self) {
+        let mut phase = self.0.lock();
+        match std::mem::replace(&mut *phase, Phase::Aborted) {
+            Phase::Open(socket) | Phase::Writing(socket) => socket.close(),
+            Phase::Opening | Phase::Aborted => {}
+        }
+    }
+
+    /// Goes back to opening, to replace a connection that its host has closed. An aborted one stays aborted.
+    pub(super) fn reopen(&self) {
+        let mut phase = self.0.lock();
+        if !matches!(*phase, Phase::Aborted) {
+            *phase = Phase::Opening;
+        }
+    }
+
+    /// Records that the connection is open.
+    ///
+    /// # Errors
+    /// The request was aborted meanwhile.
+    pub(super) fn set_open(&self, socket: &Socket) -> Result<(), Aborted> {
+        let mut phase = self.0.lock();
+        if matches!(*phase, Phase::Aborted) {
+            return Err(Aborted);
+        }
+        *phase = Phase::Open(socket.clone());
+        Ok(())
+    }
+
+    /// Makes one write call and subtracts the bytes that it wrote from `unwritten`. This holds the lock, so that whoever
+    /// cancels the request knows whether its last byte has been sent.
+    ///
+    /// # Errors
+    /// The request was aborted before, or the call failed.
+    pub(super) fn write(
+        &self,
+        socket: &Socket,
+        unwritten: &mut usize,
+        call: &mut dyn FnMut() -> io::Result<usize>,
+    ) -> io::Result<usize> {
+        let mut phase = self.0.lock();
+        if matches!(*phase, Phase::Aborted) {
+            return Err(ErrorKind::ConnectionAborted.into());
+        }
+        let written = call()?;
+        *unwritten -= written;
+        let socket = socket.clone();
+        *phase = if *unwritten == 0 { Phase::Open(socket) } else { Phase::Writing(socket) };
+        Ok(written)
+    }
+}
