--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -27,12 +27,12 @@
     pub(super) fn watch(&mut self, location: Location) -> Result<Infallible, WatchError> {
         let mut socket = self.connect(location)?;
         self.progress.connected = true;
-        let mut reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
+        let mut reader = Reader::with_max_body(socket.clone(), MAX_LIST_BYTES);
         if self.revision.is_none() {
             let closes = self.fetch_full_list(location.address, &socket, &mut reader)?;
             if closes {
                 socket = self.connect(location)?;
-                reader = Reader::with_body_bound(socket.clone(), MAX_LIST_BYTES);
+                reader = Reader::with_max_body(socket.clone(), MAX_LIST_BYTES);
             }
         }
         let Some(revision) = self.revision else { return Err(WatchError::NoRevision) };
@@ -70,7 +70,7 @@
         reader: &mut Reader,
     ) -> Result<bool, WatchError> {
         send_request(address, "", socket)?;
-        let response = reader.response(by(RESPONSE_TIMEOUT))?;
+        let response = reader.read_response(by(RESPONSE_TIMEOUT))?;
         if response.status != 200 {
             return Err(WatchError::Status(response.status));
         }
@@ -91,10 +91,10 @@
             let due = [empty_list_retry_at, self.resync_at].into_iter().flatten();
             let deadline = due.fold(silent_at, Micros::min);
             let mut chunk = Vec::new();
-            match reader.chunk(&mut chunk, MAX_LIST_BYTES, deadline) {
+            match reader.read_chunk(&mut chunk, MAX_LIST_BYTES, deadline) {
                 Ok(true) => {}
                 Ok(false) => return Err(WatchError::Closed),
-                Err(HttpError::Late) if self.resync_at == Some(deadline) => {
+                Err(HttpError::TimedOut) if self.resync_at == Some(deadline) => {
                     self.revision = None;
                     return Err(WatchError::ResyncDue);
                 }
@@ -189,7 +189,7 @@
     reader: &mut Reader,
 ) -> Result<(), WatchError> {
     send_request(address, &format!("?watch=1&after={revision}"), socket)?;
-    let head = reader.stream_head(by(RESPONSE_TIMEOUT))?;
+    let head = reader.read_stream_head(by(RESPONSE_TIMEOUT))?;
     if head.status != 200 {
         return Err(WatchError::Status(head.status));
     }
--- a/dispatcher/src/wire/discovery/watch_error.rs
+++ b/dispatcher/src/wire/discovery/watch_error.rs
@@ -51,9 +51,9 @@
 impl From<HttpError> for WatchError {
     fn from(error: HttpError) -> WatchError {
         match error {
-            HttpError::Ended => WatchError::Closed,
-            HttpError::Broken => WatchError::Broken,
-            HttpError::Late => WatchError::Silent,
+            HttpError::Closed => WatchError::Closed,
+            HttpError::ConnectionLost => WatchError::Broken,
+            HttpError::TimedOut => WatchError::Silent,
             HttpError::Status(_) => WatchError::InvalidResponse,
         }
     }
