--- a/src/api/class.rs
+++ b/src/api/class.rs
@@ -31,7 +31,8 @@
 pub enum Idempotency {
     /// Nothing: it may be retried at will.
     Idempotent,
-    /// The workers of `scope` drop duplicates for `window` after the first attempt that may have run was sent.
+    /// The workers of `scope` drop duplicates for `window` after the first attempt that may have run was
+    /// sent.
     IdempotencyKey {
         /// Which workers drop duplicates.
         scope: KeyScope,
@@ -51,7 +52,8 @@
     pub priority_weight: f64,
     /// Share of the value, 0 to 1, that an answer between the latency objective and the deadline earns.
     pub late_answer_fraction: f64,
-    /// Latency objective in microseconds: an answer within it, plus `objective_per_work`, earns the full value.
+    /// Latency objective in microseconds: an answer within it, plus `objective_per_work`, earns the full
+    /// value.
     pub latency_objective: Micros,
     /// Seconds by which the latency objective grows for each second of the request's own work.
     pub objective_per_work: f64,
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -101,9 +101,9 @@
         /// What it reports.
         update: AttemptUpdate,
     },
-    /// The worker of an attempt that is about to end may still report on it, by a callback that is late or repeated, and such
-    /// a report could not be distinguished from one on another attempt of the request there. Comes before the attempt's
-    /// [`Event::AttemptEnded`].
+    /// The worker of an attempt that is about to end may still report on it, by a callback that is late or
+    /// repeated, and such a report could not be distinguished from one on another attempt of the request
+    /// there. Comes before the attempt's [`Event::AttemptEnded`].
     LateReportPossible {
         /// The request.
         job: JobId,
@@ -127,7 +127,8 @@
     ClientDisconnected(JobId),
     /// The timer with this token, set with [`Action::Timer`](crate::Action::Timer), fired.
     TimerFired(u64),
-    /// An operator suspended or restored a worker. While suspended, it counts as draining whatever the endpoint list says.
+    /// An operator suspended or restored a worker. While suspended, it counts as draining whatever the
+    /// endpoint list says.
     SuspensionChanged {
         /// The worker, which need not be listed yet.
         worker: WorkerId,
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -17,7 +17,8 @@
 ids! {
     /// A client request; an id is never used again.
     JobId(u32);
-    /// A worker: the same across restarts of its process and at every scheduler (a hash of its address, for example).
+    /// A worker: the same across restarts of its process and at every scheduler (a hash of its address, for
+    /// example).
     WorkerId(u64);
     /// Index into [`Settings::classes`](crate::Settings::classes).
     ClassId(u16);
--- a/src/api/limits.rs
+++ b/src/api/limits.rs
@@ -58,7 +58,8 @@
     pub health_check: f64,
 }
 
-/// Parameters of the rules on answers, discovery, slow start and retries. By default workers start at full capacity.
+/// Parameters of the rules on answers, discovery, slow start and retries. By default workers start at full
+/// capacity.
 #[derive(Clone, Debug)]
 pub struct Safety {
     /// How long after the client's deadline a final answer still counts, in microseconds.
@@ -75,14 +76,15 @@
     pub overload_window: Micros,
     /// Bound on attempts beyond each request's first, where the site has one.
     pub retry_budget: Option<RetryBudget>,
-    /// Idle connections to a draining worker are closed within this time, in microseconds, where the site asks for it.
+    /// Idle connections to a draining worker are closed within this time, in microseconds, where the site
+    /// asks for it.
     pub drain_close_timeout: Option<Micros>,
     /// A worker may answer [`Outcome::Rejected`](crate::Outcome::Rejected) for work that it had begun.
     pub rejection_may_have_run: bool,
 }
 
-/// Attempts beyond each request's first that one scheduler may make: in any `window` at most `min_retries` plus `ratio` for
-/// each request that it admitted in that window.
+/// Attempts beyond each request's first that one scheduler may make: in any `window` at most `min_retries`
+/// plus `ratio` for each request that it admitted in that window.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Retries allowed however low the traffic.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -5,8 +5,8 @@
 use super::limits::{Costs, Limits, Safety};
 use roselock_discovery_client::poll_schedule::PollParameters;
 
-/// Assumed duration of one call to discovery, in microseconds, where no other is configured: a twelfth of a second, which slow
-/// discovery services need, too.
+/// Assumed duration of one call to discovery, in microseconds, where no other is configured: a twelfth of a
+/// second, which slow discovery services need, too.
 pub const DEFAULT_LIST_CALL_TIME: Micros = SECOND / 12;
 
 /// Everything that a scheduler is configured with at its start.
@@ -26,18 +26,21 @@
     pub weighted_by_work: bool,
     /// Value of a request beyond its tenant's quota, as a fraction of its value, 0 to 1.
     pub over_quota_weight: f64,
-    /// Where the site scores tail latency: the share of requests, by class and over some seconds, that may miss their latency
-    /// objective before all of them lose value. A rejection within the latency objective is no miss.
+    /// Where the site scores tail latency: the share of requests, by class and over some seconds, that may
+    /// miss their latency objective before all of them lose value. A rejection within the latency objective
+    /// is no miss.
     pub tail_miss_fraction: Option<f64>,
-    /// Discovery must be called ([`Action::WatchEndpoints`](crate::Action::WatchEndpoints)); otherwise changes come unasked.
+    /// Discovery must be called ([`Action::WatchEndpoints`](crate::Action::WatchEndpoints)); otherwise
+    /// changes come unasked.
     pub watch_required: bool,
-    /// Whether changes count as notified, received or not, once the watch has been closed for some time, so that the endpoint
-    /// list is held under a lease ([`roselock_discovery_client::lease`]).
+    /// Whether changes count as notified, received or not, once the watch has been closed for some time, so
+    /// that the endpoint list is held under a lease ([`roselock_discovery_client::lease`]).
     pub list_lease_enabled: bool,
-    /// Assumed duration of one call to discovery before the first one, in microseconds; the estimate then follows the calls.
+    /// Assumed duration of one call to discovery before the first one, in microseconds; the estimate then
+    /// follows the calls.
     pub list_call_time: Micros,
-    /// Until discovery has answered, each worker is tried with one request first, and non-idempotent requests go only to
-    /// workers that have answered one.
+    /// Until discovery has answered, each worker is tried with one request first, and non-idempotent requests
+    /// go only to workers that have answered one.
     pub list_unconfirmed: bool,
     /// [`Endpoint::units`](crate::Endpoint::units) falls as a worker has more requests in flight.
     pub units_fall_with_load: bool,
@@ -56,8 +59,8 @@
 }
 
 impl Settings {
-    /// Settings of a scheduler that has the workers to itself, without tenants, costs or load reports, at a site that permits
-    /// nothing beyond a single attempt. Change the fields that differ.
+    /// Settings of a scheduler that has the workers to itself, without tenants, costs or load reports, at a
+    /// site that permits nothing beyond a single attempt. Change the fields that differ.
     #[must_use]
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
@@ -83,7 +86,8 @@
         }
     }
 
-    /// The parameters of the poll schedule: how many schedulers call discovery, which one this is, and how often at least.
+    /// The parameters of the poll schedule: how many schedulers call discovery, which one this is, and how
+    /// often at least.
     #[must_use]
     pub fn poll_parameters(&self) -> PollParameters {
         PollParameters {
--- a/src/api/settings_check.rs
+++ b/src/api/settings_check.rs
@@ -1,6 +1,7 @@
 //! The check of [`Settings`].
 //!
-//! An error names the operator's own key, as the settings' page writes it ([`crate::settings`]), not the field of the crate.
+//! An error names the operator's own key, as the settings' page writes it ([`crate::settings`]), not the
+//! field of the crate.
 
 use super::class::{Class, Idempotency};
 use super::ids::Micros;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! A site's settings as they stand in JSON, the same on the simulator's wire and in a dispatcher's configuration, and their
-//! translation into [`Settings`](crate::Settings).
+//! A site's settings as they stand in JSON, the same on the simulator's wire and in a dispatcher's
+//! configuration, and their translation into [`Settings`](crate::Settings).
 
 mod ids_by_name;
 mod options;
@@ -22,8 +22,9 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The 64-bit FNV-1a hash (G. Fowler, L. C. Noll, K.-P. Vo): the same number for the same bytes in every process, which the
-/// standard library's hashers don't promise. Ids of workers and keys are such hashes. It doesn't resist chosen collisions.
+/// The 64-bit FNV-1a hash (G. Fowler, L. C. Noll, K.-P. Vo): the same number for the same bytes in every
+/// process, which the standard library's hashers don't promise. Ids of workers and keys are such hashes. It
+/// doesn't resist chosen collisions.
 #[must_use]
 pub fn fnv(bytes: &[u8]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -1,6 +1,7 @@
-//! The settings' JSON objects. Types and fields mirror the words of the operators' settings page, so that a key is found in
-//! the code by its name: a lane is a request class ([`Class`](crate::Class)), a party a tenant ([`Tenant`](crate::Tenant)).
-//! Times whose names end in `_s` (`S` in JSON) are in seconds. A key that is absent or null has its type's default.
+//! The settings' JSON objects. Types and fields mirror the words of the operators' settings page, so that a
+//! key is found in the code by its name: a lane is a request class ([`Class`](crate::Class)), a party a
+//! tenant ([`Tenant`](crate::Tenant)). Times whose names end in `_s` (`S` in JSON) are in seconds. A key that
+//! is absent or null has its type's default.
 
 use serde::Deserialize;
 use serde::de::Deserializer;
@@ -69,9 +70,11 @@
         promise_s: f64,
         /// Client timeout over all attempts.
         give_up_s: f64,
-        /// Seconds by which the latency objective grows for each second of work; `familyInfo.classStretch` if absent.
+        /// Seconds by which the latency objective grows for each second of work; `familyInfo.classStretch` if
+        /// absent.
         aim_stretch: Option<f64>,
-        /// What a duplicate does: `safe` (idempotent), `unsafe` (non-idempotent) or `keyed` (idempotency key).
+        /// What a duplicate does: `safe` (idempotent), `unsafe` (non-idempotent) or `keyed` (idempotency
+        /// key).
         effect: String,
         /// Which workers drop duplicates of a keyed request: `all`, `zone` or `cell`.
         key_scope: String,
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -72,8 +72,8 @@
 }
 
 impl Site {
-    /// Whether the ids of classes, tenants, zones and kinds, and the figures of load reports, mean the same as in another
-    /// site.
+    /// Whether the ids of classes, tenants, zones and kinds, and the figures of load reports, mean the same
+    /// as in another site.
     #[must_use]
     pub fn has_same_names_as(&self, other: &Site) -> bool {
         self.classes == other.classes
@@ -146,8 +146,8 @@
         })
     }
 
-    /// The fleet's size; at least this scheduler's number plus one, if one is given at all: a scheduler that has a later
-    /// number than the size allows shows that the size is out of date.
+    /// The fleet's size; at least this scheduler's number plus one, if one is given at all: a scheduler that
+    /// has a later number than the size allows shows that the size is out of date.
     fn effective_fleet_size(&self) -> u32 {
         if self.fleet_size == 0 {
             return 0;
