--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -16,7 +16,9 @@
         $(#[$doc])*
         #[derive(Clone, Debug, Default, Deserialize)]
         #[serde(rename_all = "camelCase", default)]
-        pub struct $name { $($(#[$field_doc])* #[serde(deserialize_with = "or_default")] pub $field: $kind),* }
+        pub struct $name {
+            $($(#[$field_doc])* #[serde(deserialize_with = "or_default")] pub $field: $kind),*
+        }
     )*};
 }
 
