--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most admin connections; beyond that, the oldest without a complete command is shed first. Their descriptors come out of the
-/// process's reserve.
+/// Most admin connections; beyond that, the oldest without a complete command is shed first. Their descriptors come out
+/// of the process's reserve.
 pub const MAX_CONNECTIONS: usize = 16;
 /// How long a command may take to be complete, from the start of the connection or its first byte, in microseconds.
 const COMMAND_TIMEOUT: Micros = 2 * SECOND;
@@ -165,8 +165,8 @@
         Ok(result) => result,
     };
     admin.inbox.wake();
-    // Success means that the change survives an upgrade, so the file must hold it. Without that the change is in force in this
-    // process, and is written later.
+    // Success means that the change survives an upgrade, so the file must hold it. Without that the change is in force in
+    // this process, and is written later.
     match (wait_for_change(admin, &result), result) {
         (Err(error), _) => format!("-ERR {id} {}, but not saved yet: {error}\n", change.made()),
         (Ok(()), SetResult::Unchanged) => format!("+OK {id} {}\n", change.made_before()),
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -1,25 +1,25 @@
 //! The reading side of a client's connection: one request after another, until the client disconnects.
 
+mod local_reply;
+mod routing;
+
 use super::Front;
-use super::request::parse_stream;
-use super::reservations::{BodyMemory, InFlightStream};
+use super::reservations::BodyMemory;
 use super::writer::{WriteResult, Writer};
-use crate::core::{Input, NewStream, StreamId};
-use crate::wire::callbacks;
+use crate::core::{Input, StreamId};
 use crate::wire::connection_limiter::{
     FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
 };
-use crate::wire::http::{HttpError, Message, Reader, Response, by, write_response};
+use crate::wire::http::{HttpError, Reader, by};
 use crate::wire::socket::Socket;
 use may::net::TcpStream;
 use roselock::{Micros, SECOND};
-use roselock_admin::metrics::JobResult;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// How long a connection may be idle after a request, in microseconds.
 const IDLE_TIMEOUT: Micros = 120 * SECOND;
-/// How long a connection that is closing waits for each further read, in microseconds; also how long a local reply may take.
+/// How long a connection that is closing waits for each further read, in microseconds.
 const CLOSING_TIMEOUT: Micros = SECOND / 2;
 /// How long a connection that is closing waits in all for the client's close, in microseconds.
 const MAX_CLOSING_TIME: Micros = 2 * SECOND;
@@ -27,17 +27,11 @@
 const MAX_CLOSING_BYTES: usize = 8 << 20;
 /// Bytes after a stream in flight that are kept for the next requests in any case.
 const MIN_READ_AHEAD: usize = 8 * 1024;
-/// Bytes that are kept if the memory for bodies has room for them. Further ones are discarded, and the connection closes after
-/// the requests that are kept.
+/// Bytes that are kept if the memory for bodies has room for them. Further ones are discarded, and the connection closes
+/// after the requests that are kept.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 /// While there are such bytes, the end of the answer is polled at this interval, in microseconds.
 const ANSWER_POLL_INTERVAL: Micros = SECOND / 50;
-/// Bytes of an invalid request that are logged.
-const LOGGED_BYTES: usize = 160;
-/// The response to a callback.
-const CALLBACK_ACCEPTED: u16 = 204;
-/// The path that answers whether the process is ready.
-const READY_PATH: &str = "/health/ready";
 
 /// Serves a connection until it ends.
 pub(super) fn serve(front: &Arc<Front>, stream: TcpStream, peer: SocketAddr) {
@@ -61,32 +55,6 @@
     End,
 }
 
-/// What becomes of a request.
-enum Routed {
-    /// It is a stream with this number.
-    InFlight(StreamId),
-    /// The connection was shed just now.
-    Shed,
-    /// It gets a local reply.
-    Reply(LocalReply),
-}
-
-/// A response that this process makes itself.
-struct LocalReply {
-    status: u16,
-    headers: &'static str,
-    body: &'static str,
-}
-
-impl Routed {
-    fn reply(status: u16) -> Routed {
-        Routed::Reply(LocalReply { status, headers: retry_after(status), body: "" })
-    }
-    fn method_not_allowed(allow: &'static str) -> Routed {
-        Routed::Reply(LocalReply { status: 405, headers: allow, body: "" })
-    }
-}
-
 /// The reading side of a client's connection.
 struct Connection<'a> {
     front: &'a Arc<Front>,
@@ -220,129 +188,6 @@
         }
     }
 
-    /// Responds to an invalid or incomplete message, and closes the connection.
-    fn reject(&mut self, error: HttpError) -> NextStep {
-        let status = match error {
-            HttpError::Status(status) => status,
-            HttpError::TimedOut => 408,
-            HttpError::Closed | HttpError::ConnectionLost => {
-                let is_partial = !self.reader.is_empty();
-                tracing::debug!(peer = %self.peer, is_partial, reason = %error, "client connection ended");
-                return if self.reader.is_sealed() { NextStep::Close } else { NextStep::End };
-            }
-        };
-        self.log_rejected(status, error);
-        let response = Response { status, headers: retry_after(status), close: true, ..Response::default() };
-        match write_response(&self.socket, &response, by(CLOSING_TIMEOUT)) {
-            Ok(()) => NextStep::Close,
-            Err(_) => NextStep::End,
-        }
-    }
-
-    fn log_rejected(&self, status: u16, error: HttpError) {
-        let unparsed = self.reader.unparsed();
-        let start = &unparsed[..unparsed.len().min(LOGGED_BYTES)];
-        tracing::debug!(
-            peer = %self.peer,
-            status,
-            is_first = self.first_request_deadline.is_some(),
-            start = %start.escape_ascii(),
-            reason = %error,
-            "request rejected before it was complete"
-        );
-    }
-
-    fn process(&mut self, message: Message, memory: BodyMemory) -> NextStep {
-        let close_requested = message.close;
-        match self.route(message, memory) {
-            Routed::InFlight(stream) => {
-                self.pending = Some(stream);
-                self.first_request_deadline = None;
-                NextStep::Continue
-            }
-            Routed::Shed => NextStep::Close,
-            Routed::Reply(reply) => self.reply(&reply, close_requested),
-        }
-    }
-
-    fn reply(&mut self, reply: &LocalReply, close_requested: bool) -> NextStep {
-        let LocalReply { status, headers, body } = *reply;
-        // A client whose first request is invalid is not kept.
-        let is_invalid_first = self.first_request_deadline.is_some() && (400..500).contains(&status);
-        // A further request that has been read is owed a response, too.
-        let is_shutting_down = self.front.inbox.is_closing_connections() && self.reader.is_empty();
-        let close = close_requested || is_invalid_first || is_shutting_down;
-        let response = Response { status, headers, body: body.as_bytes(), close };
-        let written = write_response(&self.socket, &response, by(CLOSING_TIMEOUT));
-        if close || written.is_err() {
-            return NextStep::Close;
-        }
-        self.first_request_deadline = None;
-        if status == CALLBACK_ACCEPTED {
-            self.unidentified = None;
-        }
-        NextStep::Continue
-    }
-
-    fn route(&mut self, message: Message, memory: BodyMemory) -> Routed {
-        let method = message.text(&message.method);
-        let target = message.text(&message.target);
-        let path = target.split('?').next().unwrap_or("");
-        match (method, path) {
-            ("POST", callbacks::PATH) => self.take_callback(&message),
-            ("GET", READY_PATH) => self.readiness(),
-            ("POST", _) => self.submit(message, memory),
-            (_, callbacks::PATH) => Routed::method_not_allowed("Allow: POST\r\n"),
-            (_, READY_PATH) => Routed::method_not_allowed("Allow: GET\r\n"),
-            _ => Routed::reply(404),
-        }
-    }
-
-    fn take_callback(&self, message: &Message) -> Routed {
-        let Front { site, inbox, inherited, .. } = &**self.front;
-        let is_valid = callbacks::post(message.body(), site, inbox, *inherited);
-        Routed::reply(if is_valid { CALLBACK_ACCEPTED } else { 400 })
-    }
-
-    fn readiness(&self) -> Routed {
-        let inbox = &self.front.inbox;
-        let is_ready = inbox.has_ready_host() && inbox.shutdown_requested_at().is_none();
-        let status = if is_ready { 200 } else { 503 };
-        Routed::Reply(LocalReply { status, headers: "", body: self.front.metrics.stage().description() })
-    }
-
-    /// Submits the stream of a request to the owner thread.
-    fn submit(&mut self, message: Message, memory: BodyMemory) -> Routed {
-        let front = self.front;
-        let close_requested = message.close;
-        let Some(new) = parse_stream(front, message, self.peer) else { return Routed::reply(400) };
-        let class = new.class.0 as usize;
-        let Some(in_flight) = InFlightStream::admit(front, memory) else {
-            return self.defer(class);
-        };
-        // The client of a request that is forwarded must stay for the answer.
-        if self.unidentified.take().is_some_and(|sheddable| !sheddable.reclaim()) {
-            return Routed::Shed;
-        }
-        let writer = self.writer.get_or_insert_with(|| Writer::start(front, &self.socket));
-        writer.exchange().in_flight = Some(in_flight);
-        writer.exchange().close_requested = close_requested;
-        let id = front.inbox.stream_id();
-        let new = NewStream { id, downstream: writer.downstream(&front.inbox), ..new };
-        if !front.inbox.submit(Box::new(new)) {
-            // The process is ending, and this stream came just too late.
-            writer.exchange().in_flight = None;
-            return self.defer(class);
-        }
-        Routed::InFlight(id)
-    }
-
-    /// Rejects a request that the client may send again.
-    fn defer(&self, class: usize) -> Routed {
-        self.front.metrics.job_ended(class, JobResult::Deferred, false);
-        Routed::reply(503)
-    }
-
     /// Lets the last response arrive: closing with unread bytes would reset the connection before that.
     fn close(&mut self) {
         let _sheddable = self.front.connections.spare(ShedPriority::Closing, &self.socket);
@@ -354,8 +199,3 @@
         }
     }
 }
-
-/// The header that tells when a request may be sent again, for a status that means so.
-fn retry_after(status: u16) -> &'static str {
-    if status == 503 { "Retry-After: 1\r\n" } else { "" }
-}
--- /dev/null
+++ b/dispatcher/src/wire/front/connection/local_reply.rs
@@ -0,0 +1,91 @@
+//! Local replies: responses that this process makes itself.
+
+use super::{Connection, NextStep};
+use crate::wire::http::{HttpError, Response, by, write_response};
+use roselock::{Micros, SECOND};
+
+/// How long writing a local reply may take, in microseconds.
+const WRITE_TIMEOUT: Micros = SECOND / 2;
+/// Bytes of an invalid request that are logged.
+const LOGGED_BYTES: usize = 160;
+/// The status of the response to a valid callback.
+pub(super) const CALLBACK_ACCEPTED: u16 = 204;
+
+/// A response that this process makes itself.
+pub(super) struct LocalReply {
+    pub(super) status: u16,
+    /// Further headers, each with the end of its line.
+    pub(super) headers: &'static str,
+    pub(super) body: &'static str,
+}
+
+impl LocalReply {
+    /// A reply without a body.
+    pub(super) fn new(status: u16) -> LocalReply {
+        LocalReply { status, headers: retry_after(status), body: "" }
+    }
+
+    /// A reply to a method that the path does not allow; `allow` is the header that names the one that it does.
+    pub(super) fn method_not_allowed(allow: &'static str) -> LocalReply {
+        LocalReply { status: 405, headers: allow, body: "" }
+    }
+}
+
+impl Connection<'_> {
+    /// Writes a local reply, and closes the connection where it must not be kept.
+    pub(super) fn reply(&mut self, reply: &LocalReply, close_requested: bool) -> NextStep {
+        let LocalReply { status, headers, body } = *reply;
+        // A client whose first request is invalid is not kept.
+        let is_invalid_first = self.first_request_deadline.is_some() && (400..500).contains(&status);
+        // A further request that has been read is owed a response, too.
+        let is_shutting_down = self.front.inbox.is_closing_connections() && self.reader.is_empty();
+        let close = close_requested || is_invalid_first || is_shutting_down;
+        let response = Response { status, headers, body: body.as_bytes(), close };
+        let written = write_response(&self.socket, &response, by(WRITE_TIMEOUT));
+        if close || written.is_err() {
+            return NextStep::Close;
+        }
+        self.first_request_deadline = None;
+        if status == CALLBACK_ACCEPTED {
+            self.unidentified = None;
+        }
+        NextStep::Continue
+    }
+
+    /// Responds to an invalid or incomplete message, and closes the connection.
+    pub(super) fn reject(&mut self, error: HttpError) -> NextStep {
+        let status = match error {
+            HttpError::Status(status) => status,
+            HttpError::TimedOut => 408,
+            HttpError::Closed | HttpError::ConnectionLost => {
+                let is_partial = !self.reader.is_empty();
+                tracing::debug!(peer = %self.peer, is_partial, reason = %error, "client connection ended");
+                return if self.reader.is_sealed() { NextStep::Close } else { NextStep::End };
+            }
+        };
+        self.log_rejected(status, error);
+        let response = Response { status, headers: retry_after(status), close: true, ..Response::default() };
+        match write_response(&self.socket, &response, by(WRITE_TIMEOUT)) {
+            Ok(()) => NextStep::Close,
+            Err(_) => NextStep::End,
+        }
+    }
+
+    fn log_rejected(&self, status: u16, error: HttpError) {
+        let unparsed = self.reader.unparsed();
+        let start = &unparsed[..unparsed.len().min(LOGGED_BYTES)];
+        tracing::debug!(
+            peer = %self.peer,
+            status,
+            is_first = self.first_request_deadline.is_some(),
+            start = %start.escape_ascii(),
+            reason = %error,
+            "request rejected before it was complete"
+        );
+    }
+}
+
+/// The header that tells when a request may be sent again, for a status that means so.
+fn retry_after(status: u16) -> &'static str {
+    if status == 503 { "Retry-After: 1\r\n" } else { "" }
+}
--- a/dispatcher/src/wire/socket.rs
+++ b/dispatcher/src/wire/socket.rs
@@ -1,8 +1,8 @@
 //! A thin layer over sockets: callers give absolute deadlines, the operating system gets time-outs.
 //!
-//! The stream of the coroutine runtime holds one waiting coroutine for each socket. Only the reader of a socket waits there, in
-//! `peek`; all other calls go to the non-blocking socket itself, so that one coroutine may write, and any close, while another
-//! waits to read, without a second descriptor.
+//! The stream of the coroutine runtime holds one waiting coroutine for each socket. Only the reader of a socket waits
+//! there, in `peek`; all other calls go to the non-blocking socket itself, so that one coroutine may write, and any
+//! close, while another waits to read, without a second descriptor.
 
 use crate::core::clock;
 use may::net::TcpStream;
@@ -196,8 +196,8 @@
         Ok(())
     }
 
-    /// Acknowledges received bytes at once instead of with the next response: a peer that holds back its next bytes until then
-    /// (Nagle's algorithm, RFC 896) would wait for the system's delayed acknowledgement.
+    /// Acknowledges received bytes at once instead of with the next response: a peer that holds back its next bytes until
+    /// then (Nagle's algorithm, RFC 896) would wait for the system's delayed acknowledgement.
     pub fn acknowledge(&self) {
         let _ = socket2::SockRef::from(self.0.inner()).set_tcp_quickack(true);
     }
--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -96,8 +96,8 @@
         exchanged
     }
 
-    /// An idle connection that the host has closed is replaced, as nothing is written yet. One that was closed from this side
-    /// is not: its upstream request has been aborted.
+    /// An idle connection that the host has closed is replaced, as nothing is written yet. One that was closed from this
+    /// side is not: its upstream request has been aborted.
     fn drop_if_closed_by_host(&mut self) {
         if self.open.as_ref().is_some_and(|open| !open.socket.is_quiet()) {
             self.open = None;
--- a/dispatcher/src/wire/upstream_tests.rs
+++ b/dispatcher/src/wire/upstream_tests.rs
@@ -66,8 +66,8 @@
     assert!(listener.accept().is_err(), "it was sent on a new connection");
 }
 
-/// A request whose `begin_by` has passed is not written, neither on a pooled connection nor on a new one: its hosts would not
-/// recognize it as a repeated request any more. One that is written completely cannot be cancelled.
+/// A request whose `begin_by` has passed is not written, neither on a pooled connection nor on a new one: its hosts would
+/// not recognize it as a repeated request any more. One that is written completely cannot be cancelled.
 #[rstest]
 fn a_request_past_its_begin_by_is_not_written() {
     let (listener, dialer, inputs) = dialer();
