--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -49,7 +49,7 @@
     /// The log.
     pub log: LogSettings,
     /// The Gearman front, if it is on.
-    pub gearman: Option<gearman::File>,
+    pub gearman: Option<gearman::GearmanSettings>,
     /// The export of flows, if it is on.
     pub ipfix: Option<ipfix::File>,
 }
--- a/dispatcher/src/lifecycle/config/parts.rs
+++ b/dispatcher/src/lifecycle/config/parts.rs
@@ -19,7 +19,7 @@
     #[serde(default)]
     log: LogSettings,
     #[serde(default)]
-    gearman: Option<gearman::File>,
+    gearman: Option<gearman::GearmanSettings>,
     #[serde(default)]
     ipfix: Option<ipfix::File>,
     #[serde(default)]
@@ -32,7 +32,7 @@
     /// The log.
     pub log: LogSettings,
     /// The Gearman front, if it is on.
-    pub gearman: Option<gearman::File>,
+    pub gearman: Option<gearman::GearmanSettings>,
     /// The export of flows, if it is on.
     pub ipfix: Option<ipfix::File>,
     /// How the process starts beside others.
@@ -84,7 +84,11 @@
     }
 }
 
-fn read_gearman_file(path: &Path, limits: Limits, site: &Site) -> Result<gearman::File, FileError> {
+fn read_gearman_file(
+    path: &Path,
+    limits: Limits,
+    site: &Site,
+) -> Result<gearman::GearmanSettings, FileError> {
     let file = SettingsFile::read(path)?;
     let gearman = file.parse()?;
     check_gearman(&gearman, limits, site).map_err(|error| file.locate("", error))?;
@@ -98,8 +102,8 @@
     Ok(ipfix)
 }
 
-fn check_gearman(file: &gearman::File, limits: Limits, site: &Site) -> Result<(), ConfigError> {
-    gearman::file::figures(file, limits.shares(true).gearman_bytes)?;
-    gearman::file::functions(file, site)?;
+fn check_gearman(file: &gearman::GearmanSettings, limits: Limits, site: &Site) -> Result<(), ConfigError> {
+    gearman::ResolvedSettings::resolve(file, limits.shares(true).gearman_bytes)?;
+    gearman::resolve_functions(file, site)?;
     Ok(())
 }
--- a/dispatcher/src/lifecycle/reload.rs
+++ b/dispatcher/src/lifecycle/reload.rs
@@ -142,7 +142,7 @@
     Duration::from_micros(delay as u64)
 }
 
-fn reload_gearman_front(name: &str, front: &Gearman, file: &gearman::File, new: &Config) {
+fn reload_gearman_front(name: &str, front: &Gearman, file: &gearman::GearmanSettings, new: &Config) {
     match front.reload(file.clone(), Arc::new(new.site.clone())) {
         Ok(delayed) => {
             for change in delayed {
--- a/dispatcher/src/lifecycle/start_error.rs
+++ b/dispatcher/src/lifecycle/start_error.rs
@@ -3,6 +3,7 @@
 use super::listen::ListenError;
 use super::load_error::LoadError;
 use super::settings_error::ConfigError;
+use crate::wire::gearman::AddFunctionError;
 use std::io;
 use thiserror::Error;
 
@@ -31,9 +32,6 @@
     #[error(transparent)]
     GearmanSettings(#[from] ConfigError),
     /// A function of the Gearman front cannot be added.
-    #[error("{reason}")]
-    GearmanFunction {
-        /// Why.
-        reason: String,
-    },
+    #[error(transparent)]
+    GearmanFunction(#[from] AddFunctionError),
 }
--- a/dispatcher/src/lifecycle/startup.rs
+++ b/dispatcher/src/lifecycle/startup.rs
@@ -10,7 +10,7 @@
 use crate::wire::connection_limiter::ConnectionLimiter;
 use crate::wire::discovery::{DiscoveryHandle, DiscoveryWatcher, WatcherParameters};
 use crate::wire::front::{self, Front};
-use crate::wire::gearman::{self, Gearman};
+use crate::wire::gearman::{self, Gearman, GearmanParameters, GearmanSettings, ResolvedSettings};
 use crate::wire::ipfix;
 use crate::wire::upstream::HttpDialer;
 use may::sync::mpsc;
@@ -151,7 +151,7 @@
     ) -> Result<Option<Arc<Gearman>>, StartError> {
         let Some(file) = &self.config.gearman else { return Ok(None) };
         let front = self.create_gearman_front(file, fleet)?;
-        core.add_job_source(Box::new(gearman::Queue(front.clone())));
+        core.add_job_source(Box::new(gearman::GearmanJobSource(front.clone())));
         let Listener { socket, address } = listen::bind(file.listen, "")?;
         // Tools read the address from this line.
         tracing::info!("{}: Gearman on {address}", self.config.name);
@@ -162,23 +162,27 @@
         Ok(Some(front))
     }
 
-    fn create_gearman_front(&self, file: &gearman::File, fleet: FleetId) -> Result<Arc<Gearman>, StartError> {
-        let figures = gearman::file::figures(file, self.shares.gearman_bytes)?;
+    fn create_gearman_front(
+        &self,
+        file: &GearmanSettings,
+        http_fleet: FleetId,
+    ) -> Result<Arc<Gearman>, StartError> {
+        let settings = ResolvedSettings::resolve(file, self.shares.gearman_bytes)?;
         let seed = self.config.seed;
         let incarnation = seed ^ fnv(self.config.name.as_bytes()) ^ clock::now() as u64;
-        let front = Arc::new(Gearman::new(
-            file.clone(),
-            figures,
-            self.site.clone(),
-            self.inbox.clone(),
-            (fleet, fleet + 1),
+        let front = Arc::new(Gearman::new(GearmanParameters {
+            file: file.clone(),
+            settings,
+            site: self.site.clone(),
+            inbox: self.inbox.clone(),
+            http_fleet,
+            first_worker_fleet: http_fleet + 1,
             seed,
             incarnation,
-            self.shares.gearman_connections,
-        ));
-        for function in gearman::file::functions(file, &self.config.site)? {
-            let made = front.make(function);
-            made.map_err(|error| StartError::GearmanFunction { reason: error.to_string() })?;
+            max_connections: self.shares.gearman_connections,
+        }));
+        for function in gearman::resolve_functions(file, &self.config.site)? {
+            front.add_function(function)?;
         }
         Ok(front)
     }
--- a/dispatcher/src/wire/gearman/admin.rs
+++ b/dispatcher/src/wire/gearman/admin.rs
@@ -1,86 +1,104 @@
-//! The administrators' lines.
+//! Administrators' commands, each a line of text.
 
-use super::{Gearman, Peer};
-use roselock_backlog::{Cancellation, State};
+use super::Gearman;
+use super::peer::Peer;
+use crate::core::Input;
+use roselock_backlog::{Cancellation, Counts, State};
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
 
-/// Most lines of a list of jobs: an answer is built whole.
-const JOBS: usize = 10_000;
+/// Most lines of a list of jobs: an answer is built in memory.
+const MAX_LISTED_JOBS: usize = 10_000;
+/// The names of the levels of verbosity.
+const VERBOSITY_LEVELS: [&str; 4] = ["ERROR", "WARN", "INFO", "DEBUG"];
 
-/// The answer to one; none where the process is to end.
+/// The answer to a command; none to one that ends the process.
 pub fn answer(front: &Gearman, peer: &Peer, line: &str) -> Option<String> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    let changes = matches!(
-        words.as_slice(),
-        ["cancel", ..]
-            | ["maxqueue", ..]
-            | ["create", ..]
-            | ["drop", ..]
-            | ["getpid"]
-            | ["verbose"]
-            | ["shutdown", ..]
-    );
-    if changes && !front.figures.admins.contains(&peer.address.ip()) {
-        return Some(err("NOT_PERMITTED", "only from the addresses under admins in the operators' file"));
+    if is_privileged(&words) && !front.settings.admins.contains(&peer.address.ip()) {
+        let text = "only from the addresses under admins in the operators' file";
+        return Some(error_line("NOT_PERMITTED", text));
     }
-    Some(match words.as_slice() {
+    let answer = match words.as_slice() {
         ["version"] => format!("OK {}\n", env!("CARGO_PKG_VERSION")),
         ["status"] => status(front),
         ["prioritystatus"] => priority_status(front),
         ["workers"] => workers(front),
         ["show", "jobs"] => show_jobs(front),
-        ["show", "unique", "jobs"] => show_unique(front),
-        ["show", "ends"] => ends(front),
-        ["cancel", "job", handle] => cancel(front, handle),
-        ["maxqueue", name, sizes @ ..] => max_queue(front, name, sizes),
-        ["create", "function", name] => create(front, name),
+        ["show", "unique", "jobs"] => show_unique_jobs(front),
+        ["show", "ends"] => show_ends(front),
+        ["cancel", "job", handle] => cancel_job(front, handle),
+        ["maxqueue", name, sizes @ ..] => set_max_queue(front, name, sizes),
+        ["create", "function", name] => create_function(front, name),
         ["drop", "function", name] => drop_function(front, name),
         ["getpid"] => format!("OK {}\n", std::process::id()),
-        ["verbose"] => {
-            format!("OK {}\n", ["ERROR", "WARN", "INFO", "DEBUG"][front.verbose.load(Ordering::Relaxed) & 3])
-        }
+        ["verbose"] => verbosity(front),
         ["shutdown"] | ["shutdown", "graceful"] => return None,
         ["show" | "cancel" | "maxqueue" | "create" | "drop" | "shutdown", ..] => {
-            err("INCOMPLETE_ARGS", "an argument is missing, or there is one too many")
+            error_line("INCOMPLETE_ARGS", "an argument is missing, or there is one too many")
         }
-        _ => err("UNKNOWN_COMMAND", "unknown server command"),
-    })
+        _ => error_line("UNKNOWN_COMMAND", "unknown server command"),
+    };
+    Some(answer)
 }
 
-fn err(code: &str, text: &str) -> String {
+/// Whether only administrators may send a command.
+fn is_privileged(words: &[&str]) -> bool {
+    matches!(
+        words,
+        ["cancel", ..]
+            | ["maxqueue", ..]
+            | ["create", ..]
+            | ["drop", ..]
+            | ["getpid"]
+            | ["verbose"]
+            | ["shutdown", ..]
+    )
+}
+
+fn error_line(code: &str, text: &str) -> String {
     format!("ERR {code} {}\n", text.replace(' ', "+"))
 }
 
-/// Function, jobs, those that run, workers that can.
-fn status(front: &Gearman) -> String {
+fn verbosity(front: &Gearman) -> String {
+    let level = front.verbosity.load(Ordering::Relaxed) % VERBOSITY_LEVELS.len();
+    format!("OK {}\n", VERBOSITY_LEVELS[level])
+}
+
+/// One line for each function, and the end of the list. A function without a line is left out.
+fn list_functions(front: &Gearman, line: impl Fn(&str, &Counts) -> Option<String>) -> String {
     let registry = front.functions();
     let jobs = front.jobs.lock();
     let mut lines = String::new();
-    for (f, function) in registry.all.iter().enumerate() {
-        let counts = jobs.backlog.counts(f);
-        if counts.closed && counts.jobs() + counts.able == 0 {
-            continue;
+    for (index, function) in registry.all.iter().enumerate() {
+        let counts = jobs.backlog.counts(index);
+        if let Some(line) = line(&function.name, &counts) {
+            lines.push_str(&line);
         }
-        let _ = writeln!(lines, "{}\t{}\t{}\t{}", function.name, counts.jobs(), counts.running, counts.able);
     }
     lines + ".\n"
 }
 
-/// Function, jobs that wait by priority, workers that can.
+/// For each function: its name, its jobs, the running ones among them, and the workers that have registered it.
+fn status(front: &Gearman) -> String {
+    list_functions(front, |name, counts| {
+        let total = counts.jobs();
+        if counts.closed && total + counts.able == 0 {
+            return None;
+        }
+        Some(format!("{name}\t{total}\t{}\t{}\n", counts.running, counts.able))
+    })
+}
+
+/// For each function: its name, its queued jobs by priority, and the workers that have registered it.
 fn priority_status(front: &Gearman) -> String {
-    let registry = front.functions();
-    let jobs = front.jobs.lock();
-    let mut lines = String::new();
-    for (f, function) in registry.all.iter().enumerate() {
-        let counts = jobs.backlog.counts(f);
+    list_functions(front, |name, counts| {
         let [high, normal, low] = counts.queued;
-        let _ = writeln!(lines, "{}\t{high}\t{normal}\t{low}\t{}", function.name, counts.able);
-    }
-    lines + ".\n"
+        Some(format!("{name}\t{high}\t{normal}\t{low}\t{}\n", counts.able))
+    })
 }
 
-/// Connection, address, name, and what it can do.
+/// For each connection: its number, its address, its name, and the functions that it has registered.
 fn workers(front: &Gearman) -> String {
     let registry = front.functions();
     let mut lines = String::new();
@@ -88,117 +106,117 @@
         let name = peer.name.lock().clone();
         let name = if name.is_empty() { "-" } else { &name };
         let _ = write!(lines, "{} {} {name} :", peer.number, peer.address.ip());
-        for f in peer.able() {
-            let _ = write!(lines, " {}", registry.all[f].name);
+        for function in peer.able() {
+            let _ = write!(lines, " {}", registry.all[function].name);
         }
         lines.push('\n');
     }
     lines + ".\n"
 }
 
-/// Handle, attempts so far, whether it waits for its time, whether it is queued, whether a worker has it.
+/// For each job: its handle, the attempts so far, and whether it is scheduled, queued, running.
 fn show_jobs(front: &Gearman) -> String {
     let jobs = front.jobs.lock();
-    let mut all: Vec<_> = jobs.backlog.iter().collect();
-    all.sort_unstable_by_key(|j| j.0);
+    let mut listed: Vec<_> = jobs.backlog.iter().collect();
+    listed.sort_unstable_by_key(|(job_no, _)| *job_no);
     let mut lines = String::new();
-    for (no, job) in all.into_iter().take(JOBS) {
-        let flag = |on: bool| on as u8;
-        let (set, queued) = (flag(job.state == State::Scheduled), flag(job.state == State::Queued));
-        let _ =
-            writeln!(lines, "{}\t{}\t{set}\t{queued}\t{}", front.handle(no), job.attempts, flag(job.running));
+    for (job_no, job) in listed.into_iter().take(MAX_LISTED_JOBS) {
+        let handle = front.job_handle(job_no);
+        let is_scheduled = u8::from(job.state == State::Scheduled);
+        let is_queued = u8::from(job.state == State::Queued);
+        let is_running = u8::from(job.running);
+        let attempts = job.attempts;
+        let _ = writeln!(lines, "{handle}\t{attempts}\t{is_scheduled}\t{is_queued}\t{is_running}");
     }
     lines + ".\n"
 }
 
-/// Unique ids.
-fn show_unique(front: &Gearman) -> String {
+/// The unique ids of the jobs that have one.
+fn show_unique_jobs(front: &Gearman) -> String {
     let jobs = front.jobs.lock();
-    let mut all: Vec<_> = jobs.backlog.iter().filter(|j| !j.1.unique.is_empty()).collect();
-    all.sort_unstable_by_key(|j| j.0);
+    let mut listed: Vec<_> = jobs.backlog.iter().filter(|(_, job)| !job.unique.is_empty()).collect();
+    listed.sort_unstable_by_key(|(job_no, _)| *job_no);
     let mut lines = String::new();
-    for (_, job) in all.into_iter().take(JOBS) {
+    for (_, job) in listed.into_iter().take(MAX_LISTED_JOBS) {
         let unique = String::from_utf8_lossy(&job.unique);
         let _ = writeln!(lines, "{}", unique.replace(char::is_control, "?"));
     }
     lines + ".\n"
 }
 
-/// Jobs that have ended since the start, by how; `lost` are background jobs without a worker's word.
-fn ends(front: &Gearman) -> String {
-    let e = front.jobs.lock().ends;
-    let all = [
-        ("served", e.served),
-        ("failed", e.failed),
-        ("refused", e.refused),
-        ("expired", e.expired),
-        ("cancelled", e.cancelled),
-        ("left", e.left),
-        ("lost", e.lost),
+/// The jobs that have ended since the start, by how.
+fn show_ends(front: &Gearman) -> String {
+    let ends = front.jobs.lock().ends;
+    let counts = [
+        ("served", ends.served),
+        ("failed", ends.failed),
+        ("refused", ends.rejected),
+        ("expired", ends.expired),
+        ("cancelled", ends.cancelled),
+        ("left", ends.abandoned),
+        ("lost", ends.lost),
     ];
-    all.iter().map(|(how, n)| format!("{how}\t{n}\n")).collect::<String>() + ".\n"
+    let lines: String = counts.iter().map(|(name, count)| format!("{name}\t{count}\n")).collect();
+    lines + ".\n"
 }
 
-fn cancel(front: &Gearman, handle: &str) -> String {
-    let Some(no) = front.job_no(handle.as_bytes()) else { return err("NOT_FOUND", "no such job") };
-    let cancelled = {
-        let mut jobs = front.jobs.lock();
-        let cancelled = jobs.backlog.cancel(no);
-        if let Cancellation::Cancelled(ended, _) = &cancelled {
-            jobs.ends.cancelled += 1;
-            jobs.ends.lost += (ended.background && ended.waiters.is_empty()) as u64;
-        }
-        cancelled
+fn cancel_job(front: &Gearman, handle: &str) -> String {
+    let Some(job_no) = front.job_no(handle.as_bytes()) else {
+        return error_line("NOT_FOUND", "no such job");
     };
-    match cancelled {
+    match front.cancel(job_no) {
         Cancellation::Cancelled(ended, stream) => {
-            front.last_words(&ended, b"cancelled");
+            front.notify_failed(&ended, b"cancelled");
             if ended.background {
                 front.log_lost(&ended, "cancelled by an administrator");
             }
-            stream.into_iter().for_each(|s| front.inbox.post(crate::core::Input::ClientDisconnected(s)));
+            if let Some(stream) = stream {
+                front.inbox.post(Input::ClientDisconnected(stream));
+            }
             "OK\n".into()
         }
-        Cancellation::Running => err("JOB_RUNS", "a worker has it, or may have had it"),
-        Cancellation::Unknown => err("NOT_FOUND", "no such job"),
+        Cancellation::Running => error_line("JOB_RUNS", "a worker has it, or may have had it"),
+        Cancellation::Unknown => error_line("NOT_FOUND", "no such job"),
     }
 }
 
-/// One size for all priorities, or one each; none: as the file says; below 0: without a bound of its own.
-fn max_queue(front: &Gearman, name: &str, sizes: &[&str]) -> String {
+/// Sets the bound of a function's queues: one for all priorities, or one for each; without sizes that of the file; a
+/// negative one stands for the bound on all jobs.
+fn set_max_queue(front: &Gearman, name: &str, sizes: &[&str]) -> String {
     let registry = front.functions();
-    let Some(f) = registry.find(name.as_bytes()) else { return err("UNKNOWN_FUNCTION", "not taken here") };
-    let parsed: Result<Vec<i64>, _> = sizes.iter().map(|s| s.parse::<i64>()).collect();
-    let most = |n: i64| usize::try_from(n).unwrap_or(front.figures.bounds.jobs);
-    let each = match parsed.as_deref() {
-        Ok([]) => registry.all[f].queue.max_queue,
-        Ok([all]) => [most(*all); 3],
-        Ok([high, normal, low]) => [most(*high), most(*normal), most(*low)],
-        _ => return err("INCOMPLETE_ARGS", "one size, or one each for high, ordinary and low"),
+    let Some(function) = registry.find(name.as_bytes()) else {
+        return error_line("UNKNOWN_FUNCTION", "not taken here");
+    };
+    let parsed: Result<Vec<i64>, _> = sizes.iter().map(|size| size.parse::<i64>()).collect();
+    let bound = |size: i64| usize::try_from(size).unwrap_or(front.settings.bounds.jobs);
+    let max_queue = match parsed.as_deref() {
+        Ok([]) => registry.all[function].queue.max_queue,
+        Ok([all]) => [bound(*all); 3],
+        Ok([high, normal, low]) => [bound(*high), bound(*normal), bound(*low)],
+        _ => return error_line("INCOMPLETE_ARGS", "one size, or one each for high, ordinary and low"),
     };
-    front.jobs.lock().backlog.set_max_queue(f, each);
+    front.jobs.lock().backlog.set_max_queue(function, max_queue);
     "OK\n".into()
 }
 
-fn create(front: &Gearman, name: &str) -> String {
-    match front.function_for(name.as_bytes()) {
-        Some(f) => {
-            let queue = front.functions().all[f].queue.clone();
-            front.jobs.lock().backlog.reconfigure(f, queue);
-            "OK\n".into()
-        }
-        None => err("UNKNOWN_FUNCTION", "the operators' file neither names it nor has a default entry"),
-    }
+fn create_function(front: &Gearman, name: &str) -> String {
+    let Some(function) = front.function_for(name.as_bytes()) else {
+        let text = "the operators' file neither names it nor has a default entry";
+        return error_line("UNKNOWN_FUNCTION", text);
+    };
+    let queue = front.functions().all[function].queue.clone();
+    front.jobs.lock().backlog.reconfigure(function, queue);
+    "OK\n".into()
 }
 
 fn drop_function(front: &Gearman, name: &str) -> String {
-    let Some(f) = front.functions().find(name.as_bytes()) else {
-        return err("UNKNOWN_FUNCTION", "not taken here");
+    let Some(function) = front.functions().find(name.as_bytes()) else {
+        return error_line("UNKNOWN_FUNCTION", "not taken here");
     };
-    let counts = front.jobs.lock().backlog.counts(f);
+    let counts = front.jobs.lock().backlog.counts(function);
     if counts.jobs() > 0 || counts.able > 0 {
-        return err("FUNCTION_IN_USE", "there are still workers or jobs of it");
+        return error_line("FUNCTION_IN_USE", "there are still workers or jobs of it");
     }
-    front.close(f);
+    front.close_function(function);
     "OK\n".into()
 }
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -1,7 +1,10 @@
-//! One connection: bytes in, packets heeded, answers out.
+//! One connection: bytes come in, packets are handled, answers go out.
 
 use super::outbox::{self, Outbox, OutboxMessage};
-use super::{Gearman, Peer, TRANSFER, admin, error, jobs, reply};
+use super::packet_handler::PacketHandler;
+use super::peer::Peer;
+use super::replies::error_reply;
+use super::{Gearman, WRITE_TIMEOUT, job_endings, submission};
 use crate::wire::connection_limiter::{
     FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
 };
@@ -9,213 +12,190 @@
 use crate::wire::socket::Socket;
 use may::net::{TcpListener, TcpStream};
 use may::sync::mpsc::channel;
-use parking_lot::Mutex;
 use roselock::{Micros, SECOND};
 use roselock_gearman::decode::CHUNK;
-use roselock_gearman::packet::number;
-use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic, Packet};
+use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
+use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a connection with nothing under way may be silent.
-const IDLE: Micros = 3600 * SECOND;
-/// Least pace of a large packet, in bytes a second, beyond the time that any packet has.
-const PACE: Micros = 64 * 1024;
-/// Longest name of a peer.
-const NAME: usize = 128;
+/// How long a connection without jobs may be silent, in microseconds.
+const IDLE_TIMEOUT: Micros = 3600 * SECOND;
+/// Least rate of a large packet, beyond the time that any packet has, in bytes a second.
+const MIN_RATE: Micros = 64 * 1024;
+/// Bytes that a packet may have beside a job's data, for the names in it.
+pub const MAX_NAMES_BYTES: usize = 4096;
+/// How often a connection whose peer does not read is checked again.
+const HIGH_OUTBOX_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Accepts connections for ever.
 pub fn accept(front: Arc<Gearman>, listener: &TcpListener) {
-    let table = front.connections.clone();
-    table.accept(listener, || true, move |stream, address| serve(&front, stream, address));
+    let connections = front.connections.clone();
+    connections.accept(listener, || true, move |stream, address| serve(&front, stream, address));
 }
 
 fn serve(front: &Arc<Gearman>, stream: TcpStream, address: SocketAddr) {
     let socket = Socket::new(stream);
     let (messages, posted) = channel();
     let number = front.next_peer.fetch_add(1, Ordering::SeqCst);
-    let peer = Arc::new(Peer {
-        number,
-        address,
-        outbox: Outbox::new(messages, socket.clone(), front.figures.outbox),
-        name: Mutex::default(),
-        worker: Mutex::default(),
-        timed: AtomicI64::new(0),
-        is_worker: AtomicBool::new(false),
-    });
+    let outbox = Outbox::new(messages, socket.clone(), front.settings.max_outbox_bytes);
+    let peer = Arc::new(Peer::new(number, address, outbox));
     front.peers.lock().insert(number, peer.clone());
-    let (writing, writer, out) = (front.clone(), peer.clone(), socket.clone());
-    may::go!(move || outbox::write(&writing, &writer, &out, &posted));
-    read(front, &peer, &socket);
+    let writer_front = front.clone();
+    let writer_peer = peer.clone();
+    let writer_socket = socket.clone();
+    may::go!(move || outbox::run_writer(&writer_front, &writer_peer, &writer_socket, &posted));
+    Reader::new(front, &peer, &socket).run();
     // Whatever it ran or waited for, it is gone.
     front.peers.lock().remove(&number);
-    peer.leave(front);
-    jobs::leave(front, &peer);
+    peer.disconnect_worker(front);
+    job_endings::disconnect_client(front, &peer);
     let _ = peer.outbox.post(OutboxMessage::End);
     if !peer.outbox.has_overflown() {
         socket.close();
     }
 }
 
-/// Reads until the connection ends.
-fn read(front: &Arc<Gearman>, peer: &Arc<Peer>, socket: &Socket) {
-    // Beside a job's data a packet has its names.
-    let limits = Limits { packet: front.figures.job + 4096, ..Limits::default() };
-    let mut decoder = Decoder::new(Magic::Req, limits);
-    let mut buffer = vec![0; CHUNK];
-    let mut exceptions = false;
-    // Until it has sent a packet it has this long, and is among the first to go where there are too many.
-    let hello = by(FIRST_REQUEST_TIMEOUT);
-    let mut unidentified = Some(front.connections.spare(ShedPriority::Unidentified, socket));
-    let mut whole_by = 0;
-    loop {
-        let engaged =
-            peer.worker.lock().is_worker() || front.jobs.lock().backlog.jobs_awaited_by(peer.number) > 0;
-        let inside = decoder.is_inside();
-        let idle = (unidentified.is_none() && !engaged && !inside)
-            .then(|| front.connections.spare(ShedPriority::Idle, socket));
-        let until = match (&unidentified, inside) {
-            (Some(_), _) => hello,
-            (_, true) => whole_by,
-            (_, false) => by(IDLE),
-        };
-        if front.figures.quick_ack && peer.is_worker.load(Ordering::Relaxed) && !inside {
-            // Its library may hold its next packet back until this one is acknowledged.
-            socket.acknowledge();
-        }
-        let came = socket.read(&mut buffer, until);
-        if !idle.is_none_or(SheddableConnection::reclaim) {
-            return;
-        }
-        let n = match came {
-            Ok(0) => return,
-            Ok(n) => n,
-            Err(e) if e.kind() == ErrorKind::TimedOut && unidentified.is_none() && !inside && engaged => {
-                continue;
-            }
-            Err(_) => return,
-        };
-        if !decoder.is_inside() {
-            whole_by = by(REQUEST_READ_TIMEOUT);
+/// Reads from a connection until that ends.
+struct Reader<'a> {
+    front: &'a Arc<Gearman>,
+    peer: &'a Arc<Peer>,
+    socket: &'a Socket,
+    decoder: Decoder,
+    packets: PacketHandler<'a>,
+    /// When its first packet must have come.
+    first_packet_by: Micros,
+    /// Until it has sent a packet it is among the first that are shed.
+    unidentified: Option<SheddableConnection>,
+    /// When the packet under way must be complete.
+    packet_complete_by: Micros,
+}
+
+/// What came of waiting for bytes.
+enum Received {
+    /// So many bytes.
+    Bytes(usize),
+    /// None yet: it may be silent, since it runs a job or waits for one.
+    Silent,
+}
+
+impl<'a> Reader<'a> {
+    fn new(front: &'a Arc<Gearman>, peer: &'a Arc<Peer>, socket: &'a Socket) -> Reader<'a> {
+        let packet = front.settings.max_job_bytes + MAX_NAMES_BYTES;
+        let limits = Limits { packet, ..Limits::default() };
+        Reader {
+            front,
+            peer,
+            socket,
+            decoder: Decoder::new(Magic::Req, limits),
+            packets: PacketHandler::new(front, peer),
+            first_packet_by: by(FIRST_REQUEST_TIMEOUT),
+            unidentified: Some(front.connections.spare(ShedPriority::Unidentified, socket)),
+            packet_complete_by: 0,
         }
-        decoder.feed(&buffer[..n]);
+    }
+
+    fn run(mut self) {
+        let mut buffer = vec![0; CHUNK];
         loop {
-            let frame = match decoder.next_frame() {
-                Ok(Some(frame)) => frame,
-                Ok(None) => break,
-                Err(_) => {
-                    let words = error("BAD_PACKET", "not a packet, or a line without an end");
-                    let _ = socket.write(&[&words], by(TRANSFER));
-                    return;
-                }
+            let received = match self.receive(&mut buffer) {
+                ControlFlow::Continue(Received::Bytes(received)) => received,
+                ControlFlow::Continue(Received::Silent) => continue,
+                ControlFlow::Break(()) => return,
             };
-            if let Frame::Large(kind, size) = frame {
-                whole_by = by(REQUEST_READ_TIMEOUT + size as Micros * SECOND / PACE);
-                if jobs::submits(kind) && !jobs::has_room_for(front, size) {
-                    decoder.skip();
-                }
-                continue;
+            if !self.decoder.is_inside() {
+                self.packet_complete_by = by(REQUEST_READ_TIMEOUT);
             }
-            if !unidentified.take().is_none_or(SheddableConnection::reclaim) {
+            self.decoder.feed(&buffer[..received]);
+            if self.handle_frames().is_break() {
                 return;
             }
-            whole_by = by(REQUEST_READ_TIMEOUT);
-            if !heed_frame(front, peer, frame, &mut exceptions) {
-                return;
-            }
-            // Who does not read what it asked for is not read from either.
-            while peer.outbox.is_high() {
-                may::coroutine::sleep(Duration::from_millis(1));
-            }
         }
     }
-}
 
-/// Heeds one frame; false ends the connection.
-fn heed_frame(front: &Arc<Gearman>, peer: &Arc<Peer>, frame: Frame, exceptions: &mut bool) -> bool {
-    let heeded = match frame {
-        Frame::Packet(kind, data) if jobs::submits(kind) => {
-            jobs::submit(front, peer, kind, data, *exceptions)
-        }
-        Frame::Packet(kind, data) => match Packet::parse(kind, &data) {
-            Ok(packet) => heed(front, peer, packet, exceptions),
-            Err(malformed) => Some(error("INVALID_ARGUMENTS", &malformed.to_string())),
-        },
-        Frame::Unknown(code) => {
-            Some(error("UNKNOWN_COMMAND", &format!("packet type {code} is not assigned")))
-        }
-        Frame::Skipped(kind, size) if jobs::submits(kind) && size <= front.figures.job + 4096 => {
-            Some(error("QUEUE_FULL", "the data of waiting jobs takes all memory for it; try again later"))
+    /// Waits for bytes. Breaks where the connection has ended or been shed.
+    fn receive(&self, buffer: &mut [u8]) -> ControlFlow<(), Received> {
+        let has_jobs = self.has_jobs();
+        let is_inside = self.decoder.is_inside();
+        let is_identified = self.unidentified.is_none();
+        let is_idle = is_identified && !has_jobs && !is_inside;
+        let idle = is_idle.then(|| self.front.connections.spare(ShedPriority::Idle, self.socket));
+        let until = self.read_deadline();
+        if self.front.settings.quick_ack && self.peer.is_worker.load(Ordering::Relaxed) && !is_inside {
+            // Its library may hold its next packet back until this one is acknowledged.
+            self.socket.acknowledge();
         }
-        Frame::Skipped(kind, size) => {
-            if matches!(kind, Kind::WorkComplete | Kind::WorkData) {
-                peer.result_too_large(front);
-            }
-            let text = format!("{} of {size} bytes; at most {}", kind.label(), front.figures.job);
-            Some(error("TOO_LARGE", &text))
+        let received = self.socket.read(buffer, until);
+        if idle.is_some_and(|idle| !idle.reclaim()) {
+            return ControlFlow::Break(());
         }
-        Frame::Large(..) => None,
-        Frame::Line(line) => {
-            let answer = admin::answer(front, peer, &String::from_utf8_lossy(&line));
-            let ends = answer.is_none();
-            peer.send(answer.unwrap_or_else(|| "OK\n".into()).into_bytes());
-            if ends {
-                front.stop();
+        match received {
+            Ok(0) => ControlFlow::Break(()),
+            Ok(received) => ControlFlow::Continue(Received::Bytes(received)),
+            Err(error) => {
+                let is_timeout = error.kind() == ErrorKind::TimedOut;
+                if is_timeout && is_identified && !is_inside && has_jobs {
+                    return ControlFlow::Continue(Received::Silent);
+                }
+                ControlFlow::Break(())
             }
-            None
         }
-    };
-    heeded.into_iter().for_each(|bytes| peer.send(bytes));
-    true
-}
+    }
 
-/// Heeds one packet that submits nothing; what it returns goes back to the sender.
-fn heed(front: &Arc<Gearman>, peer: &Arc<Peer>, packet: Packet, exceptions: &mut bool) -> Option<Vec<u8>> {
-    use Packet as P;
-    match packet {
-        P::GetStatus { handle } => Some(jobs::status(front, handle)),
-        P::GetStatusUnique { unique } => Some(jobs::status_by_unique(front, unique)),
-        P::OptionReq { option: b"exceptions" } => {
-            *exceptions = true;
-            Some(reply(Kind::OptionRes, &[b"exceptions"]))
-        }
-        P::OptionReq { .. } => Some(error("UNKNOWN_OPTION", "the only option is exceptions")),
-        P::EchoReq { data } => Some(reply(Kind::EchoRes, &[data])),
-        P::SetClientId { name } => {
-            let name = String::from_utf8_lossy(&name[..name.len().min(NAME)]);
-            *peer.name.lock() = name.split_whitespace().collect::<Vec<_>>().join("_");
-            None
+    /// Whether it is a worker, or waits for a job.
+    fn has_jobs(&self) -> bool {
+        let is_worker = self.peer.worker.lock().is_worker();
+        is_worker || self.front.jobs.lock().backlog.jobs_awaited_by(self.peer.number) > 0
+    }
+
+    fn read_deadline(&self) -> Micros {
+        if self.unidentified.is_some() {
+            self.first_packet_by
+        } else if self.decoder.is_inside() {
+            self.packet_complete_by
+        } else {
+            by(IDLE_TIMEOUT)
         }
-        // Workers are chosen one by one: there is no sharing to be asked out of.
-        P::AllYours {} => None,
-        P::CanDo { function } => peer.can_do(front, function, None),
-        P::CanDoTimeout { function, seconds } => {
-            let Some(seconds) = number(seconds).filter(|s| *s <= 366 * 86_400) else {
-                return Some(error("INVALID_ARGUMENTS", "a time limit is a number of seconds"));
+    }
+
+    /// Handles all frames that are complete. Breaks where the connection is to end.
+    fn handle_frames(&mut self) -> ControlFlow<()> {
+        loop {
+            let frame = match self.decoder.next_frame() {
+                Ok(Some(frame)) => frame,
+                Ok(None) => return ControlFlow::Continue(()),
+                Err(_) => {
+                    let message = error_reply("BAD_PACKET", "not a packet, or a line without an end");
+                    let _ = self.socket.write(&[&message], by(WRITE_TIMEOUT));
+                    return ControlFlow::Break(());
+                }
             };
-            peer.can_do(front, function, Some(seconds as Micros * SECOND).filter(|s| *s > 0))
+            if let Frame::Large(kind, size) = frame {
+                self.begin_large_packet(kind, size);
+                continue;
+            }
+            if let Some(unidentified) = self.unidentified.take()
+                && !unidentified.reclaim()
+            {
+                return ControlFlow::Break(());
+            }
+            self.packet_complete_by = by(REQUEST_READ_TIMEOUT);
+            self.packets.handle_frame(frame);
+            // Nothing is read from a peer that does not read what it asked for.
+            while self.peer.outbox.is_high() {
+                may::coroutine::sleep(HIGH_OUTBOX_INTERVAL);
+            }
         }
-        P::CantDo { function } => peer.cant_do(front, function),
-        P::ResetAbilities {} => peer.reset(front),
-        P::PreSleep {} => peer.pre_sleep(front),
-        P::GrabJob {} | P::GrabJobUniq {} | P::GrabJobAll {} => peer.grab(front, packet.kind()),
-        P::WorkStatus { .. } | P::WorkData { .. } | P::WorkWarning { .. } => peer.tell(front, &packet),
-        P::WorkComplete { handle, data: result } => peer.finish(front, handle, Some(result)),
-        P::WorkFail { handle } => peer.finish(front, handle, None),
-        P::WorkException { handle, data } => peer.exception(front, handle, data),
-        _ => Some(error("UNEXPECTED_PACKET", "only a server sends this")),
     }
-}
 
-impl Gearman {
-    /// Ends the process as SIGTERM does.
-    pub(super) fn stop(&self) {
-        if !self.told_to_stop.swap(true, Ordering::SeqCst) {
-            tracing::info!("gearman: told to stop by an administrator");
-            self.inbox.request_shutdown();
+    /// A large packet has more time, and is dropped if its job would not fit into memory.
+    fn begin_large_packet(&mut self, kind: Kind, size: usize) {
+        self.packet_complete_by = by(REQUEST_READ_TIMEOUT + size as Micros * SECOND / MIN_RATE);
+        if submission::is_submission(kind) && !submission::has_capacity_for(self.front, size) {
+            self.decoder.skip();
         }
     }
 }
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -1,203 +1,190 @@
-//! The Gearman front: clients' jobs wait in the backlog and become streams, workers that register become upstream
-//! hosts. It translates and decides nothing; a function's entry says whether its jobs go to Gearman workers or to
-//! HTTP hosts.
+//! The Gearman front: clients' jobs wait in the backlog and are released as streams, and workers that register become
+//! upstream hosts. It translates and decides nothing. The entry of a function says whether its jobs go to Gearman
+//! workers or to HTTP hosts.
 
 mod admin;
 mod connection;
-pub mod file;
-mod jobs;
+mod function;
+mod job_clients;
+mod job_endings;
+mod job_source;
+mod job_status;
+mod number_settings;
 mod outbox;
-mod reload;
+mod packet_handler;
+mod payload;
+mod peer;
+mod registration;
+mod replies;
+mod resolved_settings;
+mod settings;
+mod submission;
 mod timers;
-mod worker;
+mod worker_jobs;
+mod worker_registration;
+mod worker_reports;
+mod worker_state;
 
 use super::connection_limiter::ConnectionLimiter;
-use crate::core::{FleetId, Inbox, Input};
+use crate::core::{FleetId, Inbox, Input, Payload};
 use arc_swap::ArcSwap;
 pub use connection::accept;
-pub use file::File;
-use file::Registry;
-pub use jobs::Queue;
-use jobs::Seat;
-use outbox::{Outbox, OutboxMessage, Tail};
+use function::FunctionRegistry;
+pub use function::resolve_functions;
+use job_clients::WaitingClient;
+use job_endings::EndCounts;
+pub use job_source::GearmanJobSource;
 use parking_lot::Mutex;
+use peer::Peer;
+pub use registration::AddFunctionError;
+pub use resolved_settings::ResolvedSettings;
 use roselock::settings::Site;
 use roselock::{Micros, SECOND};
 use roselock_backlog::Backlog;
-use roselock_gearman::server;
-use roselock_gearman::{Kind, Magic, packet};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
+pub use settings::GearmanSettings;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use timers::Timer;
 pub use timers::run as run_timers;
-use worker::{Held, Tally};
+use worker_state::WorkerCounts;
 
-/// How long a packet may take to go out.
-const TRANSFER: Micros = 10 * SECOND;
+/// How long writing a batch of packets to a connection may take, in microseconds.
+const WRITE_TIMEOUT: Micros = 10 * SECOND;
 
-/// What the front's coroutines and the owner of the decisions share, in short sections without waits inside.
+/// What the coroutines of the front and the owner of the decisions share. It is locked for short sections that never
+/// wait.
 struct Jobs {
-    backlog: Backlog<Seat, crate::core::Payload>,
-    /// By function: workers that take it, those free for it, those that have a job of it.
-    tally: Vec<Tally>,
-    /// The owner knows that there is something to release.
-    nudged: bool,
-    /// Jobs that have ended, by how: told to administrators and the log.
-    ends: Ends,
-}
-
-/// Jobs by their ends.
-#[derive(Clone, Copy, Debug, Default)]
-struct Ends {
-    served: u64,
-    failed: u64,
-    refused: u64,
-    expired: u64,
-    cancelled: u64,
-    left: u64,
-    /// Background jobs among them that ended without a worker's word.
-    lost: u64,
+    backlog: Backlog<WaitingClient, Payload>,
+    /// The workers of each function, by its index.
+    worker_counts: Vec<WorkerCounts>,
+    /// Whether the owner has been notified that there may be a job to release.
+    is_owner_notified: bool,
+    /// How jobs have ended since the start.
+    ends: EndCounts,
 }
 
 /// What all connections of the front share.
 pub struct Gearman {
     /// The way to the decisions.
     pub inbox: Inbox,
-    figures: file::Figures,
+    settings: ResolvedSettings,
     site: ArcSwap<Site>,
     seed: u64,
-    functions: ArcSwap<Registry>,
-    /// The entry for functions that are not named, and what makes their fleets.
-    file: ArcSwap<File>,
-    /// Held by whoever makes a function, while it waits for room in the owner's queue.
-    making: may::sync::Mutex<FleetId>,
-    /// The fleet of the HTTP hosts.
-    http: FleetId,
+    functions: ArcSwap<FunctionRegistry>,
+    /// The settings as the file has them: the entry for functions that are not named, and the settings of fleets.
+    file: ArcSwap<GearmanSettings>,
+    /// The fleet of the next function that gets one. Locked while a function is added, also while that waits for
+    /// capacity in the owner's queue.
+    next_fleet: may::sync::Mutex<FleetId>,
+    http_fleet: FleetId,
     jobs: Mutex<Jobs>,
     peers: Mutex<BTreeMap<u64, Arc<Peer>>>,
     next_peer: AtomicU64,
-    timed: Mutex<std::collections::BTreeSet<(Micros, u64)>>,
-    /// What handles and ids begin with: new with every life.
-    life: u64,
+    timers: Mutex<BTreeSet<Timer>>,
+    /// Job handles and request ids begin with it: each process has another.
+    incarnation: u64,
     connections: Arc<ConnectionLimiter>,
-    verbose: AtomicUsize,
-    /// Told by an administrator to end.
-    told_to_stop: AtomicBool,
-    parted: AtomicBool,
+    verbosity: AtomicUsize,
+    /// An administrator has requested the shutdown.
+    is_shutdown_requested: AtomicBool,
+    /// The waiting jobs have been given up, since the process is about to end.
+    is_drained: AtomicBool,
 }
 
-/// A connection, of a client, a worker, or both.
-pub struct Peer {
-    number: u64,
-    address: SocketAddr,
-    outbox: Outbox,
-    name: Mutex<String>,
-    worker: Mutex<server::Worker<usize, Held>>,
-    /// When the timers look at it next, if they do.
-    timed: AtomicI64,
-    is_worker: AtomicBool,
+/// What a front is made of.
+pub struct GearmanParameters {
+    /// The settings as the file has them.
+    pub file: GearmanSettings,
+    /// The same settings, resolved.
+    pub settings: ResolvedSettings,
+    /// The settings of the decisions.
+    pub site: Arc<Site>,
+    /// The way to the decisions.
+    pub inbox: Inbox,
+    /// The fleet of the HTTP hosts.
+    pub http_fleet: FleetId,
+    /// The fleet of the first function that Gearman workers run; the numbers from it on are those of the front.
+    pub first_worker_fleet: FleetId,
+    /// The seed of the decisions.
+    pub seed: u64,
+    /// What job handles and request ids begin with: another in each process.
+    pub incarnation: u64,
+    /// Most connections.
+    pub max_connections: usize,
 }
 
 impl Gearman {
     /// A front without connections or functions.
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        file: File,
-        figures: file::Figures,
-        site: Arc<Site>,
-        inbox: Inbox,
-        (http, fleets): (FleetId, FleetId),
-        seed: u64,
-        life: u64,
-        most: usize,
-    ) -> Gearman {
-        let backlog = Backlog::new(figures.bounds);
-        let jobs = Jobs { backlog, tally: Vec::new(), nudged: false, ends: Ends::default() };
+    pub fn new(parameters: GearmanParameters) -> Gearman {
+        let jobs = Jobs {
+            backlog: Backlog::new(parameters.settings.bounds),
+            worker_counts: Vec::new(),
+            is_owner_notified: false,
+            ends: EndCounts::default(),
+        };
         Gearman {
-            inbox,
-            figures,
-            site: ArcSwap::new(site),
-            seed,
+            inbox: parameters.inbox,
+            settings: parameters.settings,
+            site: ArcSwap::new(parameters.site),
+            seed: parameters.seed,
             functions: ArcSwap::default(),
-            file: ArcSwap::from_pointee(file),
-            making: may::sync::Mutex::new(fleets),
-            http,
+            file: ArcSwap::from_pointee(parameters.file),
+            next_fleet: may::sync::Mutex::new(parameters.first_worker_fleet),
+            http_fleet: parameters.http_fleet,
             jobs: Mutex::new(jobs),
             peers: Mutex::default(),
             next_peer: AtomicU64::new(1),
-            timed: Mutex::default(),
-            life,
-            connections: ConnectionLimiter::new(most),
-            verbose: AtomicUsize::new(0),
-            told_to_stop: AtomicBool::new(false),
-            parted: AtomicBool::new(false),
+            timers: Mutex::default(),
+            incarnation: parameters.incarnation,
+            connections: ConnectionLimiter::new(parameters.max_connections),
+            verbosity: AtomicUsize::new(0),
+            is_shutdown_requested: AtomicBool::new(false),
+            is_drained: AtomicBool::new(false),
         }
     }
 
-    /// The functions that are taken.
-    pub fn functions(&self) -> Arc<Registry> {
+    /// The functions that it has now.
+    fn functions(&self) -> Arc<FunctionRegistry> {
         self.functions.load_full()
     }
 
-    /// Wakes the owner if it may release something and does not know. Called with the jobs locked; what it returns is
-    /// posted after that.
-    fn nudge(&self, jobs: &mut Jobs) -> bool {
-        !jobs.nudged && jobs.backlog.next_release_at().is_some() && {
-            jobs.nudged = true;
-            true
+    /// Whether the owner is to be notified that it may release a job, and has not been yet. Called with the jobs locked;
+    /// the result goes to [`Gearman::notify_owner_if`] after that.
+    fn should_notify_owner(&self, jobs: &mut Jobs) -> bool {
+        if jobs.is_owner_notified || jobs.backlog.next_release_at().is_none() {
+            return false;
         }
+        jobs.is_owner_notified = true;
+        true
     }
 
-    fn wake_owner(&self, nudge: bool) {
-        if nudge {
+    fn notify_owner_if(&self, should_notify: bool) {
+        if should_notify {
             self.inbox.post(Input::JobsAvailable);
         }
     }
 
-    /// A job's handle, to clients.
-    fn handle(&self, no: u64) -> String {
-        format!("H:roselock-{:08x}:{no}", self.life as u32)
+    /// The handle of a job, for clients.
+    fn job_handle(&self, job_no: u64) -> String {
+        format!("H:roselock-{:08x}:{job_no}", self.incarnation as u32)
     }
 
-    /// The job under a handle.
+    /// The number of the job with a handle, if it is a handle of this process.
     fn job_no(&self, handle: &[u8]) -> Option<u64> {
         let text = std::str::from_utf8(handle).ok()?;
-        let (life, no) = text.strip_prefix("H:roselock-")?.split_once(':')?;
-        (u32::from_str_radix(life, 16).ok()? == self.life as u32).then(|| no.parse().ok())?
-    }
-
-    /// Has the timers look at a connection at a time.
-    fn time(&self, peer: &Peer, at: Option<Micros>) {
-        let Some(at) = at else { return };
-        let mut timed = self.timed.lock();
-        let was = peer.timed.load(Ordering::Relaxed);
-        if was == 0 || at < was {
-            timed.remove(&(was, peer.number));
-            timed.insert((at, peer.number));
-            peer.timed.store(at, Ordering::Relaxed);
+        let (incarnation, job_no) = text.strip_prefix("H:roselock-")?.split_once(':')?;
+        if u32::from_str_radix(incarnation, 16).ok()? != self.incarnation as u32 {
+            return None;
         }
+        job_no.parse().ok()
     }
-}
-
-/// A packet to a peer.
-fn reply(kind: Kind, args: &[&[u8]]) -> Vec<u8> {
-    packet(Magic::Res, kind, args)
-}
 
-fn error(code: &str, text: &str) -> Vec<u8> {
-    reply(Kind::Error, &[code.as_bytes(), text.as_bytes()])
-}
-
-impl Peer {
-    fn send(&self, bytes: Vec<u8>) {
-        self.outbox.write(bytes, Tail::None, false);
-    }
-    /// Hands over a job's last word; the process does not end before it is written.
-    fn last_word(&self, front: &Gearman, head: Vec<u8>, tail: Tail) {
-        front.inbox.response_pending();
-        if !self.outbox.write(head, tail, true) {
-            front.inbox.response_written();
+    /// Begins the graceful shutdown of the process, as SIGTERM does.
+    fn request_shutdown(&self) {
+        if !self.is_shutdown_requested.swap(true, Ordering::SeqCst) {
+            tracing::info!("Gearman administrator requested a shutdown");
+            self.inbox.request_shutdown();
         }
     }
 }
--- a/dispatcher/src/wire/gearman/outbox.rs
+++ b/dispatcher/src/wire/gearman/outbox.rs
@@ -1,7 +1,8 @@
-//! What waits to be written to a connection: bounded by bytes, written by a coroutine of its own.
+//! What is queued for sending to a connection: bounded by bytes, written by a coroutine of its own.
 
-use super::worker::{self, Held};
-use super::{Gearman, Peer, TRANSFER};
+use super::peer::Peer;
+use super::worker_jobs::report_never_ran;
+use super::{Gearman, WRITE_TIMEOUT};
 use crate::core::{Payload, UpstreamId, UpstreamRequest};
 use crate::wire::http::by;
 use crate::wire::socket::Socket;
@@ -9,140 +10,211 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Most messages that are written together.
-const TOGETHER: usize = 32;
+/// Most packets that are written together.
+const MAX_BATCH: usize = 32;
 
-/// What follows a packet's first bytes, shared with whoever else is sent it.
+/// The last part of a packet, which may be shared with other receivers.
 #[derive(Clone)]
-pub enum Tail {
+pub enum PacketBody {
     /// Nothing.
     None,
     /// A result, or a part of one.
     Bytes(Arc<Vec<u8>>),
     /// A job's data.
-    Data(Arc<Payload>),
+    JobData(Arc<Payload>),
 }
 
-impl Tail {
+impl PacketBody {
     fn bytes(&self) -> &[u8] {
         match self {
-            Tail::None => &[],
-            Tail::Bytes(bytes) => bytes,
-            Tail::Data(payload) => payload.part(&payload.body),
+            PacketBody::None => &[],
+            PacketBody::Bytes(bytes) => bytes,
+            PacketBody::JobData(payload) => payload.part(&payload.body),
         }
     }
 }
 
-/// A message to a connection's writer.
+/// A packet to be written.
+pub struct OutgoingPacket {
+    /// Its first bytes.
+    pub head: Vec<u8>,
+    /// The bytes after these.
+    pub body: PacketBody,
+    /// Whether it is the final answer to a job: the process does not end before it has been written.
+    pub is_final: bool,
+}
+
+impl OutgoingPacket {
+    /// A packet that is no job's final answer.
+    pub fn new(head: Vec<u8>) -> OutgoingPacket {
+        OutgoingPacket { head, body: PacketBody::None, is_final: false }
+    }
+
+    fn size(&self) -> usize {
+        self.head.len() + self.body.bytes().len()
+    }
+}
+
+/// A message to the writer of a connection.
 pub enum OutboxMessage {
-    /// A packet to write; the last word on a job if so marked.
-    Write(Vec<u8>, Tail, bool),
-    /// An upstream request for the worker here.
-    Start(UpstreamRequest, usize),
-    /// Its end.
+    /// A packet to write.
+    Write(OutgoingPacket),
+    /// An attempt for the worker at this connection.
+    Start {
+        /// The attempt.
+        request: UpstreamRequest,
+        /// The index of its function.
+        function: usize,
+    },
+    /// An attempt is aborted.
     Abort(UpstreamId),
     /// The reader has ended.
     End,
 }
 
-/// The near end. Posting never waits.
+/// The sending side of a connection. Posting never waits.
 pub struct Outbox {
     messages: Sender<OutboxMessage>,
     socket: Socket,
-    waiting: AtomicUsize,
-    most: usize,
-    overflown: AtomicBool,
+    /// Bytes that are queued.
+    queued: AtomicUsize,
+    /// Most bytes that may be queued.
+    capacity: usize,
+    is_overflown: AtomicBool,
 }
 
 impl Outbox {
-    /// One for a connection, with most bytes that may wait.
-    pub fn new(messages: Sender<OutboxMessage>, socket: Socket, most: usize) -> Outbox {
-        Outbox { messages, socket, waiting: AtomicUsize::new(0), most, overflown: AtomicBool::new(false) }
-    }
-    /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.load(Ordering::Relaxed)
+    /// The outbox of a connection. At most `capacity` bytes may be queued in it.
+    pub fn new(messages: Sender<OutboxMessage>, socket: Socket, capacity: usize) -> Outbox {
+        let queued = AtomicUsize::new(0);
+        Outbox { messages, socket, queued, capacity, is_overflown: AtomicBool::new(false) }
     }
-    /// Whether so much waits that the connection's own requests should wait, too.
+
+    /// Whether more than half of its capacity is used. The connection's own requests wait then.
     pub fn is_high(&self) -> bool {
-        self.waiting() > self.most / 2 && !self.overflown.load(Ordering::Relaxed)
+        self.queued.load(Ordering::Relaxed) > self.capacity / 2 && !self.has_overflown()
     }
-    /// Whether it was closed since its peer does not read.
+
+    /// Whether the connection was closed because its peer does not read.
     pub fn has_overflown(&self) -> bool {
-        self.overflown.load(Ordering::Relaxed)
-    }
-    /// Posts a packet; false where the connection has ended, or ends now since too much waits.
-    pub fn write(&self, head: Vec<u8>, tail: Tail, last: bool) -> bool {
-        let size = head.len() + tail.bytes().len();
-        let before = self.waiting.fetch_add(size, Ordering::Relaxed);
-        // A packet alone may be larger than the bound: a job's result must get through.
-        if before > 0 && before + size > self.most {
-            self.waiting.fetch_sub(size, Ordering::Relaxed);
-            if !self.overflown.swap(true, Ordering::SeqCst) {
-                tracing::warn!(waiting = before, "gearman: a connection that does not read is closed");
-                self.socket.close();
-            }
+        self.is_overflown.load(Ordering::Relaxed)
+    }
+
+    /// Queues a packet. False where the connection has ended, or ends now since too much is queued.
+    pub fn write(&self, packet: OutgoingPacket) -> bool {
+        let size = packet.size();
+        let before = self.queued.fetch_add(size, Ordering::Relaxed);
+        // A single packet may be larger than the capacity: a job's result must get through.
+        if before > 0 && before + size > self.capacity {
+            self.queued.fetch_sub(size, Ordering::Relaxed);
+            self.close_overflown(before);
             return false;
         }
-        self.messages.send(OutboxMessage::Write(head, tail, last)).is_ok()
+        self.messages.send(OutboxMessage::Write(packet)).is_ok()
+    }
+
+    fn close_overflown(&self, queued: usize) {
+        if !self.is_overflown.swap(true, Ordering::SeqCst) {
+            tracing::warn!(queued, "gearman: a connection that does not read is closed");
+            self.socket.close();
+        }
     }
-    /// Posts a packet that is news only: dropped where its peer reads too slowly.
-    pub fn tell(&self, head: Vec<u8>) {
+
+    /// Queues a packet that may be lost: it is dropped where the peer reads too slowly.
+    pub fn write_if_low(&self, head: Vec<u8>) {
         if !self.is_high() {
-            self.write(head, Tail::None, false);
+            self.write(OutgoingPacket::new(head));
         }
     }
-    /// Posts anything else.
+
+    /// Posts any other message to the writer. False where the connection has ended.
     pub fn post(&self, message: OutboxMessage) -> bool {
         self.messages.send(message).is_ok()
     }
+
+    /// Notes that a packet was written or dropped. One that wakes a worker was not counted when it was queued.
+    fn remove(&self, size: usize) {
+        let _ = self
+            .queued
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |queued| Some(queued.saturating_sub(size)));
+    }
 }
 
-/// The writer. It ends after the reader, with [`OutboxMessage::End`].
-pub fn write(front: &Arc<Gearman>, peer: &Arc<Peer>, socket: &Socket, posted: &Receiver<OutboxMessage>) {
-    let mut open = true;
-    let mut batch: Vec<(Vec<u8>, Tail, bool)> = Vec::with_capacity(TOGETHER);
-    let mut ended = false;
-    while !ended {
-        let Ok(mut message) = posted.recv() else { break };
+/// Writes what is posted to a connection. It ends after the reader, with [`OutboxMessage::End`].
+pub fn run_writer(front: &Arc<Gearman>, peer: &Arc<Peer>, socket: &Socket, posted: &Receiver<OutboxMessage>) {
+    let mut writer = Writer { front, peer, socket, posted, is_open: true, has_ended: false };
+    let mut batch = Vec::with_capacity(MAX_BATCH);
+    while !writer.has_ended {
+        if !writer.collect(&mut batch) {
+            break;
+        }
+        writer.write(&mut batch);
+    }
+    writer.drop_posted();
+}
+
+struct Writer<'a> {
+    front: &'a Arc<Gearman>,
+    peer: &'a Arc<Peer>,
+    socket: &'a Socket,
+    posted: &'a Receiver<OutboxMessage>,
+    /// Whether writing has not failed yet.
+    is_open: bool,
+    has_ended: bool,
+}
+
+impl Writer<'_> {
+    /// Waits for a message, and handles all that are there; their packets go into the batch. False if there will be no
+    /// further message.
+    fn collect(&mut self, batch: &mut Vec<OutgoingPacket>) -> bool {
+        let Ok(mut message) = self.posted.recv() else { return false };
         loop {
-            match message {
-                OutboxMessage::Write(head, tail, last) => batch.push((head, tail, last)),
-                OutboxMessage::Start(request, function) => {
-                    let woken = peer.engage(front, request, function);
-                    batch.extend(woken.map(|bytes| (bytes, Tail::None, false)));
-                }
-                OutboxMessage::Abort(id) => peer.release(front, id),
-                OutboxMessage::End => ended = true,
-            }
-            if ended || batch.len() >= TOGETHER {
-                break;
+            batch.extend(self.handle(message));
+            if self.has_ended || batch.len() >= MAX_BATCH {
+                return true;
             }
-            let Ok(next) = posted.try_recv() else { break };
+            let Ok(next) = self.posted.try_recv() else { return true };
             message = next;
         }
-        let parts: Vec<&[u8]> = batch.iter().flat_map(|(head, tail, _)| [&head[..], tail.bytes()]).collect();
-        if open && !parts.is_empty() && socket.write(&parts, by(TRANSFER)).is_err() {
-            open = false;
-            socket.close();
+    }
+
+    /// Handles one message. Returns the packet that is to be written, if any.
+    fn handle(&mut self, message: OutboxMessage) -> Option<OutgoingPacket> {
+        match message {
+            OutboxMessage::Write(packet) => return Some(packet),
+            OutboxMessage::Start { request, function } => {
+                let wake_up = self.peer.reserve(self.front, request, function);
+                return wake_up.map(OutgoingPacket::new);
+            }
+            OutboxMessage::Abort(id) => self.peer.abort(self.front, id),
+            OutboxMessage::End => self.has_ended = true,
+        }
+        None
+    }
+
+    fn write(&mut self, batch: &mut Vec<OutgoingPacket>) {
+        let parts: Vec<&[u8]> =
+            batch.iter().flat_map(|packet| [&packet.head[..], packet.body.bytes()]).collect();
+        if self.is_open && !parts.is_empty() && self.socket.write(&parts, by(WRITE_TIMEOUT)).is_err() {
+            self.is_open = false;
+            self.socket.close();
         }
-        for (head, tail, last) in batch.drain(..) {
-            // A wake-up was not counted when it was posted.
-            let size = head.len() + tail.bytes().len();
-            let _ = peer.outbox.waiting.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |waiting| {
-                Some(waiting.saturating_sub(size))
-            });
-            if last {
-                front.inbox.response_written();
+        for packet in batch.drain(..) {
+            self.peer.outbox.remove(packet.size());
+            if packet.is_final {
+                self.front.inbox.response_written();
             }
         }
     }
-    // What was posted meanwhile finds nobody: attempts never ran, answers have no reader.
-    while let Ok(message) = posted.try_recv() {
-        match message {
-            OutboxMessage::Write(_, _, true) => front.inbox.response_written(),
-            OutboxMessage::Start(request, _) => worker::never_ran(front, Held::id_of(&request), true),
-            _ => {}
+
+    /// Drops what was posted after the end: attempts have not run, and answers have no receiver.
+    fn drop_posted(&self) {
+        while let Ok(message) = self.posted.try_recv() {
+            match message {
+                OutboxMessage::Write(packet) if packet.is_final => self.front.inbox.response_written(),
+                OutboxMessage::Start { request, .. } => report_never_ran(self.front, request.id, true),
+                _ => {}
+            }
         }
     }
 }
--- /dev/null
+++ b/dispatcher/src/wire/gearman/packet_handler.rs
@@ -0,0 +1,135 @@
+//! Which packet does what.
+
+use super::connection::MAX_NAMES_BYTES;
+use super::peer::Peer;
+use super::replies::{error_reply, reply};
+use super::{Gearman, admin, job_status, submission};
+use roselock::{Micros, SECOND};
+use roselock_gearman::packet::number;
+use roselock_gearman::{Frame, Kind, Packet};
+use std::sync::Arc;
+
+/// Longest name of a connection, in bytes.
+const MAX_CLIENT_ID_BYTES: usize = 128;
+/// Longest time limit of a worker for a job, in seconds.
+const MAX_TIME_LIMIT_S: u64 = 366 * 86_400;
+
+/// Handles the packets and lines of one connection, in their order.
+pub struct PacketHandler<'a> {
+    front: &'a Arc<Gearman>,
+    peer: &'a Arc<Peer>,
+    /// Whether the client asked for WORK_EXCEPTION.
+    wants_exceptions: bool,
+}
+
+impl<'a> PacketHandler<'a> {
+    /// For a connection that has just been accepted.
+    pub fn new(front: &'a Arc<Gearman>, peer: &'a Arc<Peer>) -> PacketHandler<'a> {
+        PacketHandler { front, peer, wants_exceptions: false }
+    }
+
+    /// Handles one frame, and queues its answer.
+    pub fn handle_frame(&mut self, frame: Frame) {
+        let answer = match frame {
+            Frame::Packet(kind, data) if submission::is_submission(kind) => {
+                submission::submit(self.front, self.peer, kind, data, self.wants_exceptions)
+            }
+            Frame::Packet(kind, data) => match Packet::parse(kind, &data) {
+                Ok(packet) => self.handle_packet(packet),
+                Err(malformed) => Some(error_reply("INVALID_ARGUMENTS", &malformed.to_string())),
+            },
+            Frame::Unknown(code) => {
+                Some(error_reply("UNKNOWN_COMMAND", &format!("packet type {code} is not assigned")))
+            }
+            Frame::Skipped(kind, size) => Some(self.handle_skipped(kind, size)),
+            Frame::Large(..) => None,
+            Frame::Line(line) => {
+                self.handle_line(&line);
+                None
+            }
+        };
+        if let Some(answer) = answer {
+            self.peer.send(answer);
+        }
+    }
+
+    /// The answer to a packet that was dropped.
+    fn handle_skipped(&self, kind: Kind, size: usize) -> Vec<u8> {
+        let max_job_bytes = self.front.settings.max_job_bytes;
+        if submission::is_submission(kind) && size <= max_job_bytes + MAX_NAMES_BYTES {
+            let text = "the data of waiting jobs takes all memory for it; try again later";
+            return error_reply("QUEUE_FULL", text);
+        }
+        if matches!(kind, Kind::WorkComplete | Kind::WorkData) {
+            self.peer.fail_with_too_large_result(self.front);
+        }
+        let text = format!("{} of {size} bytes; at most {max_job_bytes}", kind.label());
+        error_reply("TOO_LARGE", &text)
+    }
+
+    /// Handles an administrator's line.
+    fn handle_line(&self, line: &[u8]) {
+        let answer = admin::answer(self.front, self.peer, &String::from_utf8_lossy(line));
+        let is_shutdown = answer.is_none();
+        let text = answer.unwrap_or_else(|| "OK\n".into());
+        self.peer.send(text.into_bytes());
+        if is_shutdown {
+            self.front.request_shutdown();
+        }
+    }
+
+    /// Handles a packet that submits nothing. Returns its answer.
+    fn handle_packet(&mut self, packet: Packet) -> Option<Vec<u8>> {
+        use Packet as P;
+        let front = self.front;
+        let peer = self.peer;
+        match packet {
+            P::GetStatus { handle } => Some(job_status::by_handle(front, handle)),
+            P::GetStatusUnique { unique } => Some(job_status::by_unique_id(front, unique)),
+            P::OptionReq { option } => Some(self.handle_option(option)),
+            P::EchoReq { data } => Some(reply(Kind::EchoRes, &[data])),
+            P::SetClientId { name } => {
+                self.set_name(name);
+                None
+            }
+            // Workers are chosen one by one: there is no sharing that a worker could opt out of.
+            P::AllYours {} => None,
+            P::CanDo { function } => peer.register_function(front, function, None),
+            P::CanDoTimeout { function, seconds } => self.register_with_time_limit(function, seconds),
+            P::CantDo { function } => peer.unregister_function(front, function),
+            P::ResetAbilities {} => peer.unregister_all(front),
+            P::PreSleep {} => peer.pre_sleep(front),
+            P::GrabJob {} | P::GrabJobUniq {} | P::GrabJobAll {} => peer.grab(front, packet.kind()),
+            P::WorkStatus { .. } | P::WorkData { .. } | P::WorkWarning { .. } => {
+                peer.relay_output(front, &packet)
+            }
+            P::WorkComplete { handle, data } => peer.finish(front, handle, Some(data)),
+            P::WorkFail { handle } => peer.finish(front, handle, None),
+            P::WorkException { handle, data } => peer.relay_exception(front, handle, data),
+            _ => Some(error_reply("UNEXPECTED_PACKET", "only a server sends this")),
+        }
+    }
+
+    fn handle_option(&mut self, option: &[u8]) -> Vec<u8> {
+        if option != b"exceptions" {
+            return error_reply("UNKNOWN_OPTION", "the only option is exceptions");
+        }
+        self.wants_exceptions = true;
+        reply(Kind::OptionRes, &[b"exceptions"])
+    }
+
+    fn set_name(&self, name: &[u8]) {
+        let name = &name[..name.len().min(MAX_CLIENT_ID_BYTES)];
+        let words: Vec<String> =
+            String::from_utf8_lossy(name).split_whitespace().map(str::to_owned).collect();
+        *self.peer.name.lock() = words.join("_");
+    }
+
+    fn register_with_time_limit(&self, function: &[u8], seconds: &[u8]) -> Option<Vec<u8>> {
+        let Some(seconds) = number(seconds).filter(|seconds| *seconds <= MAX_TIME_LIMIT_S) else {
+            return Some(error_reply("INVALID_ARGUMENTS", "a time limit is a number of seconds"));
+        };
+        let limit = Some(seconds as Micros * SECOND).filter(|limit| *limit > 0);
+        self.peer.register_function(self.front, function, limit)
+    }
+}
--- a/dispatcher/src/wire/gearman/timers.rs
+++ b/dispatcher/src/wire/gearman/timers.rs
@@ -1,44 +1,85 @@
-//! What time does to jobs and workers.
+//! The timers of jobs and workers.
 
-use super::{Gearman, jobs};
+use super::peer::Peer;
+use super::{Gearman, submission};
 use crate::core::clock;
+use roselock::Micros;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::Duration;
 
-/// How often it is looked at: set times and limits are met this exactly.
-const LOOK: Duration = Duration::from_millis(10);
+/// Time between two checks: scheduled times and time limits are met with this precision.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Lets time pass until the process ends.
+/// When a connection is to be checked. The earliest is the first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Timer {
+    /// The time of the check.
+    at: Micros,
+    /// The number of the connection.
+    peer: u64,
+}
+
+/// The time of a connection's own [`Timer`].
+#[derive(Default)]
+pub struct PeerTimer(
+    /// 0 if it has none.
+    AtomicI64,
+);
+
+/// Runs the timers until the process ends.
 pub fn run(front: &Arc<Gearman>) {
     loop {
-        may::coroutine::sleep(LOOK);
+        may::coroutine::sleep(CHECK_INTERVAL);
         let now = clock::now();
-        loop {
-            let due = {
-                let mut timed = front.timed.lock();
-                let first = timed.first().copied().filter(|t| t.0 <= now);
-                first.inspect(|t| _ = timed.remove(t))
-            };
-            let Some((_, number)) = due else { break };
-            let peer = front.peers.lock().get(&number).cloned();
+        while let Some(timer) = front.take_due_timer(now) {
+            let peer = front.peers.lock().get(&timer.peer).cloned();
             if let Some(peer) = peer {
-                peer.timed.store(0, Ordering::Relaxed);
-                // Whatever is still due is timed anew by the change.
+                peer.timer.0.store(0, Ordering::Relaxed);
+                // Whatever is due later gets a new timer by the change.
                 peer.expire(front, now);
             }
         }
-        let mut jobs = front.jobs.lock();
-        let late = jobs.backlog.tick(now, jobs::wall());
-        jobs.ends.expired += late.len() as u64;
-        jobs.ends.lost += late.iter().filter(|e| e.background).count() as u64;
-        let nudge = front.nudge(&mut jobs);
+        front.expire_jobs(now);
+    }
+}
+
+impl Gearman {
+    /// Sets a connection's timer, unless it has an earlier one.
+    pub(super) fn set_timer(&self, peer: &Peer, at: Option<Micros>) {
+        let Some(at) = at else { return };
+        let mut timers = self.timers.lock();
+        let current = peer.timer.0.load(Ordering::Relaxed);
+        if current == 0 || at < current {
+            timers.remove(&Timer { at: current, peer: peer.number });
+            timers.insert(Timer { at, peer: peer.number });
+            peer.timer.0.store(at, Ordering::Relaxed);
+        }
+    }
+
+    fn take_due_timer(&self, now: Micros) -> Option<Timer> {
+        let mut timers = self.timers.lock();
+        let first = timers.first().copied()?;
+        if first.at > now {
+            return None;
+        }
+        timers.remove(&first);
+        Some(first)
+    }
+
+    /// Queues the scheduled jobs whose time has come, and ends those that have waited too long for a worker.
+    fn expire_jobs(&self, now: Micros) {
+        let mut jobs = self.jobs.lock();
+        let expired = jobs.backlog.tick(now, submission::wall_clock());
+        jobs.ends.expired += expired.len() as u64;
+        jobs.ends.lost += expired.iter().filter(|ended| ended.background).count() as u64;
+        let should_notify = self.should_notify_owner(&mut jobs);
         drop(jobs);
-        front.wake_owner(nudge);
-        for ended in &late {
-            front.last_words(ended, b"refused; no worker was free in time; trying again is harmless");
+        self.notify_owner_if(should_notify);
+        for ended in &expired {
+            self.notify_failed(ended, b"refused; no worker was free in time; trying again is harmless");
             if ended.background {
-                front.log_lost(ended, "no worker was free in time");
+                self.log_lost(ended, "no worker was free in time");
             }
         }
     }
