--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -46,7 +46,7 @@
     }
     /// The same, with what passes over it counted from now on.
     pub fn counted(mut self, traffic: &Arc<Traffic>) -> Connection {
-        traffic.connected();
+        traffic.count_connection();
         self.traffic = Some(traffic.clone());
         self
     }
@@ -57,11 +57,11 @@
     /// Writes all of it.
     pub fn write(&mut self, text: &str) -> io::Result<()> {
         self.stream.write_all(text.as_bytes())?;
-        self.traffic.iter().for_each(|t| t.has_written(text.len()));
+        self.traffic.iter().for_each(|t| t.count_written(text.len()));
         Ok(())
     }
     /// How long a read waits.
-    pub fn patience(&self, within: Duration) -> io::Result<()> {
+    pub fn set_read_timeout(&self, within: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(within))
     }
     /// Closes it under whoever reads from it.
@@ -72,7 +72,7 @@
     pub fn read(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some(message) = self.parsed()? {
-                self.traffic.iter().for_each(|t| t.received());
+                self.traffic.iter().for_each(|t| t.count_message());
                 return Ok(Some(message));
             }
             let mut buffer = [0; 2048];
@@ -80,7 +80,7 @@
                 0 if self.read.is_empty() => return Ok(None),
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 n => {
-                    self.traffic.iter().for_each(|t| t.has_read(n));
+                    self.traffic.iter().for_each(|t| t.count_read(n));
                     self.read.extend_from_slice(&buffer[..n]);
                 }
             }
--- a/crates/rig/src/fate.rs
+++ b/crates/rig/src/process_history.rs
@@ -10,29 +10,29 @@
 
 /// One life: when it was told to end, and when it was killed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Life {
+struct Incarnation {
     told: Option<Micros>,
     killed: Option<Micros>,
 }
 
 /// The lives of one dispatcher, the present one last.
 #[derive(Debug, Default)]
-pub struct Fate(Mutex<Vec<Life>>);
+pub struct ProcessHistory(Mutex<Vec<Incarnation>>);
 
-impl Fate {
-    fn lives(&self) -> MutexGuard<'_, Vec<Life>> {
+impl ProcessHistory {
+    fn lives(&self) -> MutexGuard<'_, Vec<Incarnation>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// It starts (again).
-    pub fn starts(&self) {
-        self.lives().push(Life::default());
+    pub fn record_start(&self) {
+        self.lives().push(Incarnation::default());
     }
     /// It is told to end.
-    pub fn told(&self, now: Micros) {
+    pub fn record_shutdown_request(&self, now: Micros) {
         self.lives().last_mut().into_iter().for_each(|life| life.told = life.told.or(Some(now)));
     }
     /// It is killed.
-    pub fn killed(&self, now: Micros) {
+    pub fn record_kill(&self, now: Micros) {
         self.lives().last_mut().into_iter().for_each(|life| life.killed = life.killed.or(Some(now)));
     }
     /// The number of its present life.
@@ -40,17 +40,17 @@
         self.lives().len()
     }
     /// Whether the rig has ended the present life, or told it to end.
-    pub fn is_ending(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.lives().last().is_some_and(|life| life.told.or(life.killed).is_some())
     }
     /// Whether it was told to end so long ago that only connections that are open are used.
-    pub fn takes_new_connections(&self, now: Micros) -> bool {
+    pub fn accepts_new_connections(&self, now: Micros) -> bool {
         self.lives()
             .last()
             .is_some_and(|l| l.killed.is_none() && l.told.is_none_or(|t| now - t < NEW_CONNECTIONS))
     }
     /// Whether a request that came in that life, at that time, may stay without an answer.
-    pub fn owes_nothing(&self, life: usize, came: Micros) -> bool {
+    pub fn may_leave_unanswered(&self, life: usize, came: Micros) -> bool {
         let lives = self.lives();
         let Some(life) = life.checked_sub(1).and_then(|index| lives.get(index)) else { return true };
         match (life.told, life.killed) {
--- a/crates/rig/src/page.rs
+++ b/crates/rig/src/run_chart.rs
@@ -11,14 +11,15 @@
 
 /// A fault as marked: its name, from when, until when, in seconds.
 fn faults(scenario: &Scenario) -> Vec<(String, f64, f64)> {
-    let group = |g: &crate::links::Group| String::from(g.clone());
+    let group = |g: &crate::links::ParticipantGroup| String::from(g.clone());
     let cuts = scenario.cuts.iter().map(|c| {
         let arrow = if c.one_way { ">" } else { "x" };
-        (format!("{} {arrow} {}: {:?}", group(&c.from), group(&c.to), c.harm), c.from_s, c.until_s)
+        (format!("{} {arrow} {}: {:?}", group(&c.from), group(&c.to), c.fault), c.from_s, c.until_s)
     });
     let outages =
         scenario.list.outages.iter().map(|o| (format!("list: {:?}", o.failure), o.from_s, o.until_s));
-    let events = scenario.events.iter().map(|e| (format!("{}: {:?}", group(&e.who), e.what), e.at_s, e.at_s));
+    let events =
+        scenario.events.iter().map(|e| (format!("{}: {:?}", group(&e.targets), e.kind), e.at_s, e.at_s));
     cuts.chain(outages).chain(events).collect()
 }
 
--- a/crates/rig/src/scale/interval.rs
+++ b/crates/rig/src/scale/interval.rs
@@ -1,6 +1,6 @@
 //! What passed between two samples of a trial.
 
-use crate::scale::party::Sample;
+use crate::scale::trial_environment::Sample;
 use crate::scale::usage::Usage;
 use crate::time::SECOND;
 use crate::traffic::TrafficCount;
--- a/crates/rig/src/scale/load.rs
+++ b/crates/rig/src/scale/load.rs
@@ -154,7 +154,7 @@
         let head =
             format!("X-Call-Id: {id}\r\nX-Call-Class: look\r\nX-Budget: {budget}\r\nContent-Length: 4");
         connection.write(&format!("POST /api/u HTTP/1.1\r\nHost: a\r\n{head}\r\n\r\nbody"))?;
-        connection.patience(Duration::from_micros((PATIENCE + SECOND) as u64))?;
+        connection.set_read_timeout(Duration::from_micros((PATIENCE + SECOND) as u64))?;
         let Some(answer) = connection.read()? else { return Ok(End::Failed) };
         if let Ok(mut idle) = clients.idle.lock()
             && answer.header("connection") != Some("close")
--- a/crates/rig/src/scale/registry.rs
+++ b/crates/rig/src/scale/registry.rs
@@ -1,7 +1,7 @@
 //! The list service of a measurement: one listener for each dispatcher, so that what passes is counted for each.
 
 use crate::http::{CHUNKED_HEAD, Connection, answer, chunk};
-use crate::list::{Change, Line, List, object};
+use crate::list::{EndpointList, ListEntry, WatchEvent, list_json};
 use crate::time::{Clock, Micros, SECOND};
 use crate::traffic::{Traffic, TrafficCount};
 use may::net::TcpListener;
@@ -34,14 +34,14 @@
 /// The service.
 pub struct Registry {
     clock: Clock,
-    list: List,
+    list: EndpointList,
     subscribers: Vec<Subscriber>,
     end: AtomicBool,
 }
 
 impl Registry {
     /// Serves these lines from now on.
-    pub fn start(lines: Vec<Line>, dispatchers: usize, clock: Clock) -> io::Result<Arc<Registry>> {
+    pub fn start(lines: Vec<ListEntry>, dispatchers: usize, clock: Clock) -> io::Result<Arc<Registry>> {
         let bound =
             || (0..dispatchers).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<io::Result<Vec<_>>>();
         let (listeners, moved) = (bound()?, bound()?);
@@ -56,7 +56,7 @@
             })
         };
         let subscribers = listeners.iter().zip(&moved).map(subscriber).collect::<io::Result<_>>()?;
-        let list = List::new(lines, dispatchers);
+        let list = EndpointList::new(lines, dispatchers);
         let registry = Arc::new(Registry { clock, list, subscribers, end: AtomicBool::new(false) });
         for (number, (listener, moved)) in listeners.into_iter().zip(moved).enumerate() {
             let (first, second) = (registry.clone(), registry.clone());
@@ -77,7 +77,7 @@
     }
 
     /// Whether a dispatcher watches there.
-    pub fn followed(&self, dispatcher: usize) -> bool {
+    pub fn has_moved(&self, dispatcher: usize) -> bool {
         self.subscribers[dispatcher].watched_moved.load(Ordering::SeqCst)
     }
 
@@ -92,12 +92,12 @@
     }
 
     /// How often a list was sent to a dispatcher since then, whether or not it was read.
-    pub fn lists(&self, dispatcher: usize) -> usize {
+    pub fn lists_sent(&self, dispatcher: usize) -> usize {
         self.subscribers[dispatcher].lists.load(Ordering::SeqCst)
     }
 
     /// A dispatcher starts again: its first list counts anew.
-    pub fn forget(&self, dispatcher: usize) {
+    pub fn reset_first_list(&self, dispatcher: usize) {
         let subscriber = &self.subscribers[dispatcher];
         subscriber.lists.store(0, Ordering::SeqCst);
         *subscriber.first.lock().unwrap_or_else(PoisonError::into_inner) = None;
@@ -106,7 +106,7 @@
     /// Bytes of the whole list as it is now, without what frames them.
     pub fn list_bytes(&self) -> usize {
         let (rev, lines) = self.list.lines();
-        object(rev, true, &lines).len()
+        list_json(rev, true, &lines).len()
     }
 
     /// Changes the state of workers, and tells all watches.
@@ -147,7 +147,7 @@
             }
             let (rev, lines) = self.list.lines();
             self.subscribers[dispatcher].lists.fetch_add(1, Ordering::SeqCst);
-            connection.write(&answer(200, "", &object(rev, true, &lines)))?;
+            connection.write(&answer(200, "", &list_json(rev, true, &lines)))?;
             self.listed(dispatcher);
         }
         Ok(())
@@ -162,10 +162,10 @@
         let mut said = self.clock.now();
         while !self.ended() {
             match opened.changes.recv_timeout(LOOK) {
-                Ok(Change::Text(text, _)) => connection.write(&chunk(&text))?,
+                Ok(WatchEvent::Text(text, _)) => connection.write(&chunk(&text))?,
                 Err(RecvTimeoutError::Timeout) if self.clock.now() - said < KEEP_ALIVE => continue,
                 Err(RecvTimeoutError::Timeout) => connection.write(&chunk(""))?,
-                Ok(Change::End) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
+                Ok(WatchEvent::End) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
             said = self.clock.now();
         }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -49,7 +49,7 @@
     }
 
     /// The row of several plays of one size: medians, and the requests of all. A play that was refused goes first.
-    pub fn of_plays(plays: Vec<Row>) -> Option<Row> {
+    pub fn of_repetitions(plays: Vec<Row>) -> Option<Row> {
         if let Some(refused) = plays.iter().find(|row| matches!(row.outcome, Outcome::Refused { .. })) {
             return Some(refused.clone());
         }
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/simulated_workers.rs
@@ -3,7 +3,7 @@
 
 use crate::http::{Connection, answer};
 use crate::job_id::dispatcher_of;
-use crate::list::Line;
+use crate::list::ListEntry;
 use crate::net;
 use crate::time::{Clock, Micros, SECOND};
 use crate::traffic::{Traffic, TrafficCount};
@@ -35,7 +35,7 @@
 }
 
 /// The workers.
-pub struct HollowWorkers {
+pub struct SimulatedWorkers {
     clock: Clock,
     net: u8,
     count: usize,
@@ -49,17 +49,17 @@
     end: AtomicBool,
 }
 
-impl HollowWorkers {
+impl SimulatedWorkers {
     /// So many workers in a net of 127/8 that answer from now on.
     pub fn start(
         count: usize,
         net: u8,
         dispatchers: Vec<SocketAddr>,
         clock: Clock,
-    ) -> io::Result<Arc<HollowWorkers>> {
+    ) -> io::Result<Arc<SimulatedWorkers>> {
         // One descriptor for all addresses; who does not come to one of them over loopback is not served.
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-        let workers = Arc::new(HollowWorkers {
+        let workers = Arc::new(SimulatedWorkers {
             clock,
             net,
             count,
@@ -77,8 +77,8 @@
     }
 
     /// Their lines in the list.
-    pub fn lines(&self) -> Vec<Line> {
-        let line = |number: usize| Line {
+    pub fn lines(&self) -> Vec<ListEntry> {
+        let line = |number: usize| ListEntry {
             uid: uid(number),
             endpoint: SocketAddr::from((net::address(self.net, number), self.port)).to_string(),
             zone: "a".into(),
@@ -99,7 +99,7 @@
         drop(TcpStream::connect((Ipv4Addr::LOCALHOST, self.port)));
     }
 
-    fn serve(self: &Arc<HollowWorkers>, listener: &TcpListener) {
+    fn serve(self: &Arc<SimulatedWorkers>, listener: &TcpListener) {
         for stream in listener.incoming() {
             if self.end.load(Ordering::SeqCst) {
                 return;
@@ -117,8 +117,8 @@
         net::number_at(self.net, ip).filter(|number| *number < self.count)
     }
 
-    fn talk(self: &Arc<HollowWorkers>, number: usize, mut connection: Connection) -> io::Result<()> {
-        connection.patience(PATIENCE)?;
+    fn talk(self: &Arc<SimulatedWorkers>, number: usize, mut connection: Connection) -> io::Result<()> {
+        connection.set_read_timeout(PATIENCE)?;
         while let Some(request) = connection.read()? {
             if request.start[0] == "DELETE" {
                 connection.write(&answer(200, "", ""))?;
@@ -158,7 +158,7 @@
             Some(connection) => connection,
             None => Connection::open(self.dispatchers[dispatcher], CALL_PATIENCE)?.counted(&self.call_backs),
         };
-        connection.patience(CALL_PATIENCE)?;
+        connection.set_read_timeout(CALL_PATIENCE)?;
         let length = body.len();
         connection.write(&format!(
             "POST /v1/job-events HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"
--- a/crates/rig/src/traffic.rs
+++ b/crates/rig/src/traffic.rs
@@ -28,19 +28,19 @@
 
 impl Traffic {
     /// Counts a connection that came up.
-    pub fn connected(&self) {
+    pub fn count_connection(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
     /// Counts bytes that were read.
-    pub fn has_read(&self, bytes: usize) {
+    pub fn count_read(&self, bytes: usize) {
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
     }
     /// Counts bytes that were written.
-    pub fn has_written(&self, bytes: usize) {
+    pub fn count_written(&self, bytes: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
     }
     /// Counts a message that was read whole.
-    pub fn received(&self) {
+    pub fn count_message(&self) {
         self.messages.fetch_add(1, Ordering::Relaxed);
     }
     /// The counts as of now.
--- a/crates/rig/src/worker.rs
+++ b/crates/rig/src/worker.rs
@@ -8,15 +8,15 @@
 #[derive(Default)]
 pub(crate) struct State {
     /// When its process started; none: long ago.
-    pub(crate) booted: Option<Micros>,
+    pub(crate) started_at: Option<Micros>,
     /// Its life: what runs in a former one is lost.
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     /// Its address: nobody listens at a former one.
     pub(crate) address: u32,
     pub(crate) up: bool,
     pub(crate) running: Vec<String>,
     pub(crate) waiting: VecDeque<String>,
-    pub(crate) open: usize,
+    pub(crate) open_connections: usize,
 }
 
 /// A worker.
@@ -42,21 +42,21 @@
     }
 
     /// Its process starts.
-    pub fn boot(&self, now: Micros) {
+    pub fn start(&self, now: Micros) {
         let mut state = self.state();
-        let (life, address) = (state.life + 1, state.address);
-        *state = State { booted: Some(now), life, address, up: true, ..State::default() };
+        let (life, address) = (state.incarnation + 1, state.address);
+        *state = State { started_at: Some(now), incarnation: life, address, up: true, ..State::default() };
     }
 
     /// Its process ends, with all that it has.
     pub fn kill(&self) {
         let mut state = self.state();
-        let (life, address) = (state.life + 1, state.address);
-        *state = State { life, address, booted: state.booted, ..State::default() };
+        let (life, address) = (state.incarnation + 1, state.address);
+        *state = State { incarnation: life, address, started_at: state.started_at, ..State::default() };
     }
 
     /// It goes on at another address; the number of that.
-    pub fn moves(&self) -> u32 {
+    pub fn change_address(&self) -> u32 {
         let mut state = self.state();
         state.address += 1;
         state.address
