--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,13 +1,15 @@
-//! The proving rig: real dispatchers as processes, each with an address of its own in 127/8, and around them a list
-//! service, workers and clients as stand-ins, with faults between them. What the stand-ins saw goes into a ledger, and
-//! the rules are judged from that alone, never from a dispatcher's own words.
+//! The test rig: real dispatchers as processes, each at an address of its own in 127/8, and around them a list service,
+//! workers and clients as stand-ins, with faults between them. What the stand-ins observe goes into a ledger, and the rules
+//! are checked against that alone, never against a dispatcher's own figures.
 //!
-//! Every pair of parties but two dispatchers talks through a stand-in, so the rig owns each of these links without a
-//! relay between: [`links`] says what passes. Loopback only; nothing is left running when a [`run::Run`] ends.
+//! All participants but two dispatchers communicate through a stand-in, so the rig controls each of these links without a
+//! relay between: [`links`] says what passes. Loopback only; no process is left when a [`run::Run`] ends.
 
 pub mod clairvoyant;
 pub mod clients;
+pub mod connection_pool;
 pub mod dispatcher_process;
+pub mod files;
 pub mod http;
 pub mod idle_clients;
 pub mod job_id;
--- a/crates/rig/src/outage.rs
+++ b/crates/rig/src/outage.rs
@@ -2,29 +2,29 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a call ends that waited too long, or that comes while the service is out.
+/// How a call ends that waited too long, or that arrives during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// A 503.
+    /// With a 503.
     #[default]
     Answer503,
     /// The connection is closed.
     Reset,
-    /// Nothing is said.
+    /// It stays open and silent.
     Silence,
-    /// A whole list of nobody.
+    /// With a complete list without workers.
     Empty,
 }
 
-/// A span in which the service does not do what it should.
+/// A span in which the service fails.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
     /// From when, in seconds since the start.
     pub from_s: f64,
-    /// Until when.
+    /// Until when, in seconds since the start.
     pub until_s: f64,
-    /// How calls end; watches that are open end, too, but for silence.
+    /// How calls end; open watches end, too, except with [`Failure::Silence`].
     pub failure: Failure,
 }
--- /dev/null
+++ b/crates/rig/src/run/setup.rs
@@ -0,0 +1,112 @@
+//! The stand-ins of a run: their listeners, and the coroutines that serve them.
+
+use super::{Run, RunOptions};
+use crate::dispatcher_process::DispatcherSpec;
+use crate::list::{EMPTY_LIST, ListEntry, list_json};
+use crate::net::{address, claim_net, free_port, raise_limits};
+use crate::process::ResourceUsage;
+use crate::scenario::Scenario;
+use crate::test_environment::TestEnvironment;
+use crate::worker::Worker;
+use crate::{list_service, worker_service};
+use may::net::TcpListener;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+
+/// Stack of a coroutine, in words.
+const STACK_WORDS: usize = 8 * 1024;
+/// Any free port on loopback.
+const ANY_PORT: &str = "127.0.0.1:0";
+
+/// The listeners of the list service for one dispatcher: at its address, and at the one to which it moves.
+struct ListListeners {
+    present: TcpListener,
+    moved: TcpListener,
+}
+
+/// A run with its stand-ins, and without a process.
+pub(super) fn run(scenario: Scenario, options: RunOptions) -> io::Result<Run> {
+    raise_limits();
+    // One worker thread: of several, one may fire the timeout of a wait that another is still setting up, and panics then
+    // ("Node value is None" and others, may 0.3.51), which ends the stand-ins of all runs.
+    may::config().set_workers(1).set_stack_size(STACK_WORDS);
+    let folder = tempfile::tempdir()?;
+    let ports = Ports { listen: free_port()?, admin: free_port()? };
+    let claim = claim_net()?;
+    let mut dispatchers = Vec::new();
+    let mut list_listeners = Vec::new();
+    for number in 0..scenario.processes {
+        let listeners =
+            ListListeners { present: TcpListener::bind(ANY_PORT)?, moved: TcpListener::bind(ANY_PORT)? };
+        dispatchers.push(dispatcher_spec(number, claim.net, &ports, &listeners, folder.path())?);
+        list_listeners.push(listeners);
+    }
+    let worker_listeners = listeners(scenario.worker_count)?;
+    let mut entries = Vec::new();
+    for (number, listener) in worker_listeners.iter().enumerate() {
+        let endpoint = listener.local_addr()?.to_string();
+        entries.push(ListEntry::ready(Worker::uid(number), endpoint));
+    }
+    let known_list = if scenario.starts_with_list { list_json(1, true, &entries) } else { EMPTY_LIST.into() };
+    let environment = Arc::new(TestEnvironment::new(scenario, options.seed, entries, dispatchers));
+    serve_lists(&environment, list_listeners);
+    serve_workers(&environment, worker_listeners);
+    let processes = environment.dispatchers.iter().map(|_| None).collect();
+    Ok(Run {
+        environment,
+        options,
+        known_list,
+        processes,
+        failures: Vec::new(),
+        peak_usage: ResourceUsage::default(),
+        _folder: folder,
+        _claim: claim,
+    })
+}
+
+/// The ports that all dispatchers of a run use, each at its own address.
+struct Ports {
+    listen: u16,
+    admin: u16,
+}
+
+fn dispatcher_spec(
+    number: usize,
+    net: u8,
+    ports: &Ports,
+    listeners: &ListListeners,
+    folder: &Path,
+) -> io::Result<DispatcherSpec> {
+    let ip = address(net, number);
+    Ok(DispatcherSpec {
+        number,
+        listen: SocketAddr::from((ip, ports.listen)),
+        admin: SocketAddr::from((ip, ports.admin)),
+        list_service: listeners.present.local_addr()?,
+        moved_list_service: listeners.moved.local_addr()?,
+        folder: folder.join(format!("n{number}")),
+    })
+}
+
+/// So many listeners on loopback, each at a port of its own.
+pub(super) fn listeners(count: usize) -> io::Result<Vec<TcpListener>> {
+    (0..count).map(|_| TcpListener::bind(ANY_PORT)).collect()
+}
+
+fn serve_lists(environment: &Arc<TestEnvironment>, listeners: Vec<ListListeners>) {
+    for (number, ListListeners { present, moved }) in listeners.into_iter().enumerate() {
+        for listener in [present, moved] {
+            let environment = environment.clone();
+            may::go!(move || list_service::serve(&environment, number, &listener));
+        }
+    }
+}
+
+fn serve_workers(environment: &Arc<TestEnvironment>, listeners: Vec<TcpListener>) {
+    for (number, listener) in listeners.into_iter().enumerate() {
+        let environment = environment.clone();
+        may::go!(move || worker_service::serve(&environment, number, &listener, 0));
+    }
+}
--- a/crates/rig/src/scale/fit.rs
+++ b/crates/rig/src/scale/fit.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A law whose largest residual is above this share is called not linear.
+/// A law whose largest residual is above this share of the mean is not linear.
 pub const LINEAR_WITHIN: f64 = 0.1;
 
 /// One measured value.
@@ -23,25 +23,28 @@
     pub constant: f64,
     /// The largest distance of a point from the line, as a share of the mean of the values.
     pub largest_residual: f64,
-    /// Where it is.
+    /// The number of workers of that point.
     pub residual_at: f64,
-    /// Whether the points can tell that a law is bent: there are three sizes or more.
+    /// Whether the points can show that a law is not linear: there are three sizes or more.
     pub checked: bool,
 }
 
 impl Line {
-    /// The value of the line.
+    /// The value of the line at a number of workers.
+    #[must_use]
     pub fn at(&self, workers: f64) -> f64 {
         self.slope * workers + self.constant
     }
 
     /// Whether the points follow the line.
+    #[must_use]
     pub fn is_linear(&self) -> bool {
         self.largest_residual <= LINEAR_WITHIN
     }
 }
 
 /// The line with the least squares of residuals; none with fewer than two sizes.
+#[must_use]
 pub fn fit(points: &[Point]) -> Option<Line> {
     let mut sizes: Vec<f64> = points.iter().map(|p| p.workers).collect();
     sizes.sort_by(f64::total_cmp);
--- a/crates/rig/src/scale/interval.rs
+++ b/crates/rig/src/scale/interval.rs
@@ -1,15 +1,15 @@
-//! What passed between two samples of a trial.
+//! The time between two samples of a trial.
 
 use crate::scale::trial_environment::Sample;
 use crate::scale::usage::Usage;
 use crate::time::SECOND;
 use crate::traffic::TrafficCount;
 
-/// Two samples, and what lies between them.
+/// Two samples, and the figures of the time between them.
 pub struct Interval {
-    /// The former.
+    /// The earlier one.
     pub from: Sample,
-    /// The latter.
+    /// The later one.
     pub to: Sample,
 }
 
@@ -43,17 +43,17 @@
         sent.max(1) as f64 / self.dispatchers()
     }
 
-    /// What passed at the workers on connections of the dispatchers.
+    /// Traffic at the workers on connections that dispatchers opened.
     pub fn worker_requests(&self) -> TrafficCount {
         self.to.workers.requests - self.from.workers.requests
     }
 
-    /// What passed on connections that workers opened.
-    pub fn call_backs(&self) -> TrafficCount {
-        self.to.workers.call_backs - self.from.workers.call_backs
+    /// Traffic on connections that workers opened.
+    pub fn callbacks(&self) -> TrafficCount {
+        self.to.workers.callbacks - self.from.workers.callbacks
     }
 
-    /// So much over the requests that reached any dispatcher.
+    /// A total over the requests that reached any dispatcher.
     pub fn by_request(&self, total: u64) -> f64 {
         total as f64 / self.dispatchers() / self.requests()
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// What the dispatcher that takes most of it takes.
+/// The largest value of any dispatcher.
 pub fn most(sample: &Sample, of: fn(&Usage) -> u64) -> f64 {
     sample.usage.iter().map(of).max().unwrap_or(0) as f64
 }
--- a/crates/rig/src/scale/table.rs
+++ b/crates/rig/src/scale/table.rs
@@ -5,7 +5,8 @@
 use crate::scale::report::{Law, Outcome, Report, Row};
 use std::fmt::Write;
 
-/// Both tables, and a line for each size that was refused and for each fault.
+/// Both tables, and a line for each size that was rejected and for each fault.
+#[must_use]
 pub fn text(report: &Report) -> String {
     let mut text = values(report);
     text.push('\n');
@@ -16,14 +17,17 @@
                 let _ = writeln!(text, "\n{} workers: refused: {reason}", row.workers);
             }
             Outcome::Measured { faults, .. } => {
-                faults.iter().for_each(|fault| _ = writeln!(text, "\n{} workers: {fault}", row.workers));
+                for fault in faults {
+                    let _ = writeln!(text, "\n{} workers: {fault}", row.workers);
+                }
             }
         }
     }
     text
 }
 
-/// What is told of a size as soon as it is measured.
+/// The line that is shown as soon as a size is measured.
+#[must_use]
 pub fn line(row: &Row) -> String {
     match &row.outcome {
         Outcome::Measured { requests, .. } => {
@@ -63,13 +67,13 @@
         let residual = format!("{:.1} at {:.0}", line.largest_residual * 100.0, line.residual_at);
         let (slope, constant) = (shown(line.slope), shown(line.constant));
         let spread = format!("{:.1}", spread * 100.0);
-        let cells = [figure.label(), &slope, &constant, &residual, &spread, verdict.words()];
+        let cells = [figure.label(), &slope, &constant, &residual, &spread, verdict.label()];
         let _ = writeln!(text, "| {} |", cells.join(" | "));
     }
     text
 }
 
-/// Three digits that count, or all before the point; at most nine behind it.
+/// Three significant digits, or all before the point; at most nine behind it.
 fn shown(value: f64) -> String {
     let size = value.abs();
     if size >= 100.0 || size == 0.0 {
--- a/crates/rig/src/scale/usage.rs
+++ b/crates/rig/src/scale/usage.rs
@@ -1,9 +1,9 @@
-//! What processes take of the machine, as the system counts it.
+//! What processes use of the machine, as the system counts it.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What one process takes.
+/// What one process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time of the threads that run, in nanoseconds.
@@ -17,7 +17,11 @@
 }
 
 impl Usage {
-    /// Of a process, by its id.
+    /// The usage of a process, by its id.
+    ///
+    /// # Errors
+    ///
+    /// There is no such process, or `/proc` cannot be read.
     pub fn of(id: u32) -> io::Result<Usage> {
         let process = PathBuf::from(format!("/proc/{id}"));
         let status = std::fs::read_to_string(process.join("status"))?;
@@ -30,12 +34,20 @@
     }
 }
 
-/// Resident memory of a process in KiB.
+/// Resident memory of a process in KiB, by its id.
+///
+/// # Errors
+///
+/// There is no such process, or `/proc` cannot be read.
 pub fn resident_kib(id: u32) -> io::Result<u64> {
     kib(&std::fs::read_to_string(format!("/proc/{id}/status"))?, "VmRSS:")
 }
 
 /// The memory of the machine in KiB.
+///
+/// # Errors
+///
+/// `/proc` cannot be read.
 pub fn machine_kib() -> io::Result<u64> {
     kib(&std::fs::read_to_string("/proc/meminfo")?, "MemTotal:")
 }
--- a/crates/rig/src/worker_profile.rs
+++ b/crates/rig/src/worker_profile.rs
@@ -1,33 +1,33 @@
-//! What all workers of a run are like.
+//! The properties that all workers of a run have.
 
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What all workers of a run are.
+/// The properties that all workers of a run have.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkerProfile {
-    /// Jobs at once.
+    /// Jobs that it runs at the same time.
     pub slots: usize,
-    /// Jobs that wait there at most; one more is turned away.
+    /// Most jobs in its queue; one more is rejected.
     #[serde(rename = "queue")]
     pub queue_limit: usize,
-    /// A job's run on a warm worker, in seconds.
+    /// How long a job runs at a warm worker, in seconds.
     #[serde(rename = "run_s")]
     pub job_s: f64,
-    /// How long a worker that has just started is cold, in seconds.
+    /// How long a worker warms up after its start, in seconds.
     #[serde(rename = "cold_s")]
     pub warm_up_s: f64,
-    /// Share of its capacity with which it starts.
+    /// Share of its capacity that it has at its start.
     #[serde(rename = "cold_share")]
     pub cold_capacity_share: f64,
-    /// What it bears in a second, over its capacity then.
+    /// Jobs that it bears to receive in a second, over its capacity then.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Connections it keeps; further ones are closed at once.
+    /// Most open connections; further ones are closed at once.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Between two connections that it accepts, in milliseconds.
+    /// Time between two connections that it accepts, in milliseconds.
     #[serde(rename = "accept_ms")]
     pub accept_interval_ms: f64,
 }
@@ -48,7 +48,8 @@
 }
 
 impl WorkerProfile {
-    /// Share of its capacity that a worker has so long after its start; none: long after it.
+    /// Share of its capacity that a worker has at an age in microseconds; without an age it is warm.
+    #[must_use]
     pub fn capacity_share(&self, age: Option<Micros>) -> f64 {
         let age = age.map_or(f64::INFINITY, |age| age as f64 / 1e6);
         let share = if self.warm_up_s > 0.0 { (age / self.warm_up_s).min(1.0) } else { 1.0 };
