--- a/dispatcher/tests/common/admin.rs
+++ b/dispatcher/tests/common/admin.rs
@@ -1,25 +1,27 @@
-//! A caller at the admin address.
+//! A client of the admin address.
 
 use super::connect;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A caller at the admin address.
+/// A client of the admin address.
 pub struct Admin(BufReader<TcpStream>);
 
 impl Admin {
+    /// Connects.
     pub fn new(at: SocketAddr) -> Admin {
         Admin(BufReader::new(connect(at)))
     }
+    /// Writes these bytes.
     pub fn send(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("it is written");
     }
-    /// The next line, without its end; none at the end.
+    /// The next line without its line ending; none at the end of the stream.
     pub fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         (self.0.read_line(&mut line).ok()? > 0).then(|| line.trim_end().to_owned())
     }
-    /// A call and its answer: one line, or for METRICS the lines up to `.`.
+    /// Makes a call and reads its answer: one line, or for METRICS the lines up to `.`.
     pub fn call(&mut self, line: &str) -> Vec<String> {
         self.send(format!("{line}\n").as_bytes());
         let first = self.line().expect("an answer");
--- a/dispatcher/tests/common/discovery.rs
+++ b/dispatcher/tests/common/discovery.rs
@@ -1,25 +1,27 @@
-//! A stand-in for the list service.
+//! A mock of the discovery service.
 
 use super::{Peer, bind};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// Discovery: each connection gets the lines that the story sends, and an empty one now and then.
+/// A discovery service: a watch receives the lines that the test sends, and an empty line each second.
 pub struct Discovery {
+    /// Its address.
     pub at: SocketAddr,
-    /// The target of each watch, as it comes.
+    /// Receives the request line of each call.
     pub asked: Receiver<String>,
-    /// To the watch that came last; `None` ends it.
+    /// Sends a line to the latest watch; `None` closes it.
     pub lines: Sender<Option<String>>,
 }
 
 impl Discovery {
+    /// A service without a complete list.
     pub fn start() -> Discovery {
         Discovery::start_with(None)
     }
 
-    /// One that also tells the whole list when asked for it without a watch.
+    /// A service that also answers polls of the complete list with `whole`.
     pub fn start_with(whole: Option<String>) -> Discovery {
         let (listener, (ask, asked), (lines, said)) = (bind(), channel(), channel::<Option<String>>());
         let at = listener.local_addr().expect("an address");
@@ -34,7 +36,7 @@
         std::thread::spawn(move || {
             let Ok(mut latest) = watches.recv() else { return };
             for line in said {
-                // The one that came last, where another came meanwhile; the next one, where the last was ended.
+                // The latest watch; after one was closed, the next watch.
                 latest = watches.try_iter().last().unwrap_or(latest);
                 let ends = line.is_none();
                 let _ = latest.send(line);
@@ -47,7 +49,7 @@
     }
 }
 
-/// Answers the calls on one connection: the whole list, then a watch.
+/// Answers the requests on one connection: a poll of the complete list, then a watch.
 fn answer_watch(
     stream: TcpStream,
     ask: &Sender<String>,
@@ -66,7 +68,7 @@
     }
     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let (lines, said) = channel();
-    // Kept here, too: it ends with this watch, not with the one that comes after it.
+    // This sender is kept so that the channel closes with this watch, and not with the next one.
     let _ = opened.send(lines.clone());
     let mut line = first_list(&asked, whole) + "\n";
     loop {
@@ -81,7 +83,7 @@
     }
 }
 
-/// The first object on a watch: the whole list to who asks from a version that is not its own, else no change.
+/// The first event of a watch: the complete list if the watch starts from another version, else no change.
 fn first_list(asked: &str, whole: Option<&str>) -> String {
     let after = asked.split("after=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap_or("0");
     match whole {
--- a/dispatcher/tests/common/faults/mod.rs
+++ b/dispatcher/tests/common/faults/mod.rs
@@ -1,37 +1,37 @@
-//! A library that a test preloads into a dispatcher: system calls fail as Linux documents, the wall clock is stepped, and
-//! writes are held up (`faults.c` says how). It is built once a test binary, with the C compiler that the linker comes with.
+//! Fault injection: a library that a test preloads into a dispatcher. System calls fail as Linux documents, the wall clock is
+//! stepped, and writes are delayed (see `faults.c`). Each test binary builds it once with the system's C compiler.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The environment of a dispatcher whose system calls fail.
+/// The faults to inject, as environment variables of `faults.c`.
 #[derive(Clone, Debug, Default)]
 pub struct Faults(pub Vec<(&'static str, String)>);
 
 impl Faults {
-    /// None yet.
+    /// No faults.
     pub fn new() -> Faults {
         Faults::default()
     }
-    /// Adds a variable of `faults.c`.
+    /// Adds a variable.
     pub fn with(mut self, variable: &'static str, value: impl ToString) -> Faults {
         self.0.push((variable, value.to_string()));
         self
     }
-    /// The variables, with the library that heeds them; none where nothing fails.
+    /// The variables and `LD_PRELOAD` with the library; none without faults.
     pub fn environment(&self) -> Vec<(String, String)> {
         let preload = ("LD_PRELOAD", library().display().to_string());
         let all = self.0.iter().cloned().chain([preload]).filter(|_| !self.0.is_empty());
         all.map(|(variable, value)| (variable.to_owned(), value)).collect()
     }
-    /// Preloads the library into a command.
+    /// Sets this environment for a command.
     pub fn apply(&self, command: &mut Command) {
         command.envs(self.environment());
     }
 }
 
-/// The library, built on first use.
+/// The path of the library, which is built on first use.
 fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The one helper of the process tests: a dispatcher as a process, and scripted peers on loopback sockets.
+//! Shared by the integration tests: a dispatcher as a process, and scripted peers on loopback sockets.
 #![allow(dead_code)]
 
 mod admin;
@@ -17,35 +17,40 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// No wait in a test is this long unless it fails.
+/// The time-out of each wait: a test that waits this long fails.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
+/// A listener on a free loopback port.
 pub fn bind() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
+/// Sets the time-out of reads, and `TCP_NODELAY`.
 fn patient(stream: TcpStream) -> TcpStream {
     stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     stream.set_nodelay(true).expect("no delay");
     stream
 }
 
+/// A connection with the time-out of [`PATIENCE`].
 pub fn connect(to: SocketAddr) -> TcpStream {
     patient(TcpStream::connect(to).expect("a connection"))
 }
 
-/// A line of the list.
+/// One entry of the endpoint list, as JSON.
 pub fn target(uid: &str, at: SocketAddr, state: &str, boot_ms: u64) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"a","model":"m","state":"{state}","capacity_hint":1,"boot_ms":{boot_ms}}}"#
     )
 }
 
+/// An endpoint list of a version: complete (`all`), or only the changed entries.
 pub fn list(rev: u64, all: bool, targets: &[String]) -> String {
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
 }
 
-/// Settings: classes `look` (safe) and `pay` (unsafe) of an aim, with `cold_s` and other figures of a calm site.
+/// Settings with the classes `look` (safe) and `pay` (unsafe) of one latency objective, `promise_s`, and slow start over
+/// `cold_s`, both in seconds.
 pub fn settings(cold_s: f64, promise_s: f64) -> String {
     let cold_share = if cold_s > 0.0 { 0.15 } else { 1.0 };
     format!(
--- a/dispatcher/tests/common/platform.rs
+++ b/dispatcher/tests/common/platform.rs
@@ -1,8 +1,8 @@
-//! What the tests of the platform's front share.
+//! Shared by the tests of the platform's HTTP front.
 
 use super::{Discovery, Dispatcher, Host, list, settings};
 
-/// A dispatcher that knows these hosts.
+/// Starts a dispatcher whose cached endpoint list has these hosts.
 pub fn world(hosts: &[&Host]) -> (Discovery, Dispatcher) {
     let discovery = Discovery::start();
     let known: Vec<String> = hosts.iter().map(|h| h.line("ready")).collect();
@@ -10,4 +10,5 @@
     (discovery, dispatcher)
 }
 
+/// The rest of a callback of a job that is done, with a quote in its result.
 pub const DONE: &str = r#""state":"done","result":"a \"b\"","load":{"x0":1}"#;
