--- a/crates/capacity/src/chart.rs
+++ b/crates/capacity/src/chart.rs
@@ -4,28 +4,33 @@
 use crate::report::{Report, Series};
 use plotters::prelude::*;
 
-/// Its size in pixels.
+/// The size of the chart, in pixels.
 const SIZE: (u32, u32) = (760, 400);
-/// Room beyond the largest size and the highest value.
-const ROOM: f64 = 1.1;
+/// The length of the axes as a multiple of the largest size and of the highest value.
+const AXIS_MARGIN: f64 = 1.1;
+/// The color of the measured values.
 const MEASURED: RGBColor = RGBColor(20, 90, 160);
+/// The color of the fitted line.
 const FITTED: RGBColor = RGBColor(190, 60, 20);
 
+/// Why the SVG backend could not draw a chart.
+pub type DrawError = DrawingAreaErrorKind<std::io::Error>;
+
 /// The chart of one figure, as SVG.
 ///
 /// # Errors
 /// [`CapacityError::Chart`] if it cannot be drawn.
 pub fn svg(report: &Report, series: &Series) -> Result<String, CapacityError> {
     let mut text = String::new();
-    draw(report, series, &mut text).map_err(|error| CapacityError::Chart(error.to_string()))?;
+    draw(report, series, &mut text)?;
     Ok(text)
 }
 
-fn draw(report: &Report, series: &Series, text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(report: &Report, series: &Series, text: &mut String) -> Result<(), DrawError> {
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let largest = series.points.iter().map(|p| f64::from(p.size)).fold(1.0, f64::max) * ROOM;
-    let highest = series.points.iter().map(|p| p.most()).fold(f64::MIN_POSITIVE, f64::max) * ROOM;
+    let largest = series.points.iter().map(|p| f64::from(p.size)).fold(1.0, f64::max) * AXIS_MARGIN;
+    let highest = series.points.iter().map(|p| p.most()).fold(f64::MIN_POSITIVE, f64::max) * AXIS_MARGIN;
     let title = format!("{}: {}, {}", report.experiment, series.name, series.unit);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
--- a/crates/capacity/src/command.rs
+++ b/crates/capacity/src/command.rs
@@ -1,4 +1,4 @@
-//! The command `roselock-capacity`: its arguments, and what it prints.
+//! The command `roselock-capacity`: its arguments and its output.
 
 use crate::chart;
 use crate::error::CapacityError;
@@ -9,8 +9,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The status of a run with bad arguments, and of one that failed.
+/// The exit status of a run with invalid arguments, and of one that failed.
 const FAILED: u8 = 2;
+/// The name of the command.
 const NAME: &str = "roselock-capacity";
 
 /// Measures how the cost of a dispatcher grows with its surroundings, in simulated time.
@@ -39,7 +40,7 @@
     charts: Option<PathBuf>,
 }
 
-/// Runs the command; bad arguments end with status 2.
+/// Runs the command; invalid arguments end with status 2.
 pub fn main(arguments: &[String]) -> ExitCode {
     let given: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let parsed = match Arguments::from_args(&[NAME], &given) {
@@ -95,14 +96,14 @@
     Ok(vec![found])
 }
 
-/// Sizes by commas.
+/// The sizes in a list separated by commas.
 fn sizes(text: &str) -> Result<Vec<u32>, CapacityError> {
     if text.is_empty() {
         return Ok(Vec::new());
     }
     let size = |part: &str| {
-        let not = |_| CapacityError::NotANumber { argument: "--sizes", text: part.to_owned() };
-        part.trim().parse::<u32>().map_err(not)
+        let invalid = |_| CapacityError::NotANumber { argument: "--sizes", text: part.to_owned() };
+        part.trim().parse::<u32>().map_err(invalid)
     };
     text.split(',').map(size).collect()
 }
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,105 +1,78 @@
-//! What can be wrong with a run.
+//! The errors of a run.
 
-use crate::Micros;
+use crate::chart::DrawError;
+use crate::{Micros, SECOND};
 use roselock::SettingsError;
-use std::fmt;
 use std::path::PathBuf;
 
-/// Why a run was refused or ended early.
-#[derive(Debug)]
+/// Why a run was rejected or ended early.
+#[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     /// No experiment has this name.
+    #[error("{0:?} is no experiment; `roselock-capacity list` names them")]
     UnknownExperiment(String),
     /// A size or a number is not one.
+    #[error("{argument}: {text:?} is not a whole number")]
     NotANumber {
-        /// Which argument.
+        /// The argument.
         argument: &'static str,
-        /// What stood there.
+        /// Its text.
         text: String,
     },
-    /// A number is beyond its bounds.
+    /// A number is out of its range.
+    #[error("{argument}: {value} is not between {least} and {most}")]
     OutOfRange {
-        /// Which argument.
+        /// The argument.
         argument: &'static str,
-        /// What stood there.
+        /// Its value.
         value: u64,
-        /// The least that is taken.
+        /// The least valid value.
         least: u64,
-        /// The most that is taken.
+        /// The largest valid value.
         most: u64,
     },
     /// A law needs more sizes than were given.
+    #[error("--sizes: {given} different sizes, at least {needed} are needed")]
     TooFewSizes {
-        /// How many different ones were given.
+        /// The number of different sizes that were given.
         given: usize,
-        /// How many are needed.
+        /// The number of sizes that are needed.
         needed: usize,
     },
-    /// The run took longer than it may.
+    /// The run exceeded its time limit.
+    #[error("the run took longer than --most-seconds {seconds}; size {size} was not played")]
     OutOfTime {
-        /// The bound, in seconds.
+        /// The limit, in seconds.
         seconds: u64,
         /// The size that was to be played next.
         size: u32,
     },
-    /// What was simulated did not come to the state that is to be measured.
+    /// The simulation did not reach the state that is to be measured.
+    #[error("the simulation has not reached {state} after {} s", by / SECOND)]
     NotReached {
-        /// Which state.
+        /// The state.
         state: &'static str,
-        /// By what simulated time.
+        /// The simulated time by then.
         by: Micros,
     },
-    /// The decision module refused its settings.
-    Settings(SettingsError),
+    /// The decision module rejected its settings.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
     /// A chart could not be drawn.
-    Chart(String),
-    /// The figures could not be written as JSON.
-    Json(serde_json::Error),
+    #[error("the chart: {0}")]
+    Chart(#[from] DrawError),
+    /// The figures could not be serialized as JSON.
+    #[error("JSON: {0}")]
+    Json(#[from] serde_json::Error),
     /// A file could not be written.
+    #[error("{}: {source}", path.display())]
     Write {
-        /// Which file.
+        /// Its path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The system told no processor time.
-    Clock(nix::Error),
-}
-
-impl fmt::Display for CapacityError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CapacityError::UnknownExperiment(name) => {
-                write!(f, "{name:?} is no experiment; `roselock-capacity list` names them")
-            }
-            CapacityError::NotANumber { argument, text } => {
-                write!(f, "{argument}: {text:?} is not a whole number")
-            }
-            CapacityError::OutOfRange { argument, value, least, most } => {
-                write!(f, "{argument}: {value} is not between {least} and {most}")
-            }
-            CapacityError::TooFewSizes { given, needed } => {
-                write!(f, "--sizes: {given} different sizes, at least {needed} are needed")
-            }
-            CapacityError::OutOfTime { seconds, size } => {
-                write!(f, "the run took longer than --most-seconds {seconds}; size {size} was not played")
-            }
-            CapacityError::NotReached { state, by } => {
-                write!(f, "the simulation has not reached {state} after {} s", by / crate::SECOND)
-            }
-            CapacityError::Settings(error) => write!(f, "settings: {error}"),
-            CapacityError::Chart(why) => write!(f, "the chart: {why}"),
-            CapacityError::Json(error) => write!(f, "JSON: {error}"),
-            CapacityError::Write { path, source } => write!(f, "{}: {source}", path.display()),
-            CapacityError::Clock(error) => write!(f, "processor time: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for CapacityError {}
-
-impl From<SettingsError> for CapacityError {
-    fn from(error: SettingsError) -> CapacityError {
-        CapacityError::Settings(error)
-    }
+    /// The system did not return the processor time.
+    #[error("processor time: {0}")]
+    Clock(#[from] nix::Error),
 }
--- a/crates/capacity/src/experiment/list.rs
+++ b/crates/capacity/src/experiment/list.rs
@@ -1,4 +1,4 @@
-//! The bytes of the list of workers and of a change of it, by the number of workers.
+//! The bytes of the endpoint list and of a change of it, by the number of workers.
 
 use super::{Experiment, MOST_WORKERS, WORKERS};
 use crate::error::CapacityError;
@@ -16,11 +16,11 @@
 };
 
 fn play(size: u32, _seed: u64) -> Result<Vec<Figure>, CapacityError> {
-    let whole = listing::json_list(true, 0..size).len();
+    let complete = listing::json_list(true, 0..size).len();
     let change = listing::json_list(false, size - 1..size).len();
     let frame = listing::peer_frame(size).len();
     Ok(vec![
-        Figure::counted("whole list", "bytes", whole as f64),
+        Figure::counted("whole list", "bytes", complete as f64),
         Figure::counted("change of one line", "bytes", change as f64),
         Figure::counted("whole list between members", "bytes", frame as f64),
     ])
--- a/crates/capacity/src/experiment/mod.rs
+++ b/crates/capacity/src/experiment/mod.rs
@@ -1,14 +1,15 @@
-//! The experiments: what grows, by what.
+//! The experiments: each measures how the cost grows with one kind of size.
 
 mod accelerators;
 mod batch;
-mod calls;
-mod cold;
-mod cut;
+mod discovery_load;
+mod interval;
 mod list;
 mod members;
+mod partition;
 mod rate;
 mod running;
+mod slow_start;
 mod teams;
 mod urgent;
 mod workers;
@@ -16,12 +17,12 @@
 use crate::error::CapacityError;
 use crate::figure::Figure;
 
-/// Sizes where workers are counted: to the target, and 5,000 as a look beyond.
+/// Sizes of experiments by the number of workers: up to the target of 2,900, and 5,000 beyond it.
 const WORKERS: &[u32] = &[60, 300, 725, 1_450, 2_900, 5_000];
-/// Most workers that can be asked for.
+/// The largest number of workers that can be requested.
 const MOST_WORKERS: u32 = 20_000;
 
-/// Plays one size in simulated time.
+/// An experiment: it plays one size at a time in simulated time.
 pub struct Experiment {
     /// Its name on the command line.
     pub name: &'static str,
@@ -29,19 +30,19 @@
     pub about: &'static str,
     /// What a size counts.
     pub size_is: &'static str,
-    /// The sizes where none are asked for.
+    /// The default sizes.
     pub sizes: &'static [u32],
-    /// The largest size that can be asked for.
+    /// The largest size that can be requested.
     pub most: u32,
-    /// Plays a size from a seed.
+    /// Plays one size with a seed.
     pub play: fn(u32, u64) -> Result<Vec<Figure>, CapacityError>,
 }
 
 /// All experiments.
 pub const ALL: &[Experiment] = &[
     workers::EXPERIMENT,
-    cold::EXPERIMENT,
-    cold::BY_RATE,
+    slow_start::EXPERIMENT,
+    slow_start::BY_RATE,
     accelerators::EXPERIMENT,
     rate::EXPERIMENT,
     running::EXPERIMENT,
@@ -49,11 +50,11 @@
     urgent::EXPERIMENT,
     list::EXPERIMENT,
     batch::EXPERIMENT,
-    calls::COLD_START,
-    calls::RETURN,
+    discovery_load::COLD_START,
+    discovery_load::WATCHES_BREAK,
     members::EXPERIMENT,
     members::JOIN,
-    cut::EXPERIMENT,
+    partition::EXPERIMENT,
 ];
 
 /// An experiment by its name.
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -1,4 +1,4 @@
-//! What one play of an experiment yields.
+//! The figures that one play of an experiment returns.
 
 use serde::Serialize;
 
@@ -15,11 +15,11 @@
 /// One figure of a play.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figure {
-    /// What it is.
+    /// Its name.
     pub name: &'static str,
-    /// What it is counted in.
+    /// Its unit.
     pub unit: &'static str,
-    /// Whether it varies.
+    /// Whether it is the same for the same seed.
     pub kind: Kind,
     /// Its value.
     pub value: f64,
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,14 +1,14 @@
-//! Straight lines through measured points, and where a law stops being one.
+//! Straight lines fitted to measured points, and the point from which on the growth is no longer linear.
 
 use serde::Serialize;
 
-/// Fewest points that show whether a law is a straight line.
+/// The fewest points that show whether growth is linear.
 pub const FEWEST: usize = 4;
-/// A point this share away from the line is off it.
+/// The largest residual of a point on the line, as a fraction of its value.
 pub const TOLERANCE: f64 = 0.15;
-/// Fewest points of the beginning through which a line is laid to find where a law bends.
+/// The fewest points to which a line is fitted in the search for a bend.
 const BEGINNING: usize = 3;
-/// Values below this share of the largest one count as that large where a residual is given as a share.
+/// The smallest scale of a relative residual, as a fraction of the largest value.
 const FLOOR: f64 = 0.01;
 
 /// A measured value at a size.
@@ -34,7 +34,7 @@
 }
 
 impl Law {
-    /// What the line says of a size.
+    /// The value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.slope * size + self.constant
     }
--- a/crates/capacity/src/listing.rs
+++ b/crates/capacity/src/listing.rs
@@ -1,17 +1,19 @@
-//! The list of workers and the configuration as they are written, for their bytes.
+//! The endpoint list and the configuration in their serialized forms, whose bytes are measured.
 
 use roselock_peers::wire::{Listing, Target, Version};
 use roselock_peers::{codec, member::Member, wire};
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// What a line is made of beside the worker's number: names as long as the platform's.
+/// The prefix of the workers' names, which are as long as those of the platform.
 const NAME: &str = "portal-worker";
+/// The zone of all workers.
 const ZONE: &str = "santander";
+/// The machine kind of all workers.
 const KIND: &str = "node-fast";
-/// When a worker's process started, in milliseconds since 1970: as many digits as today.
+/// The start time of a worker, in milliseconds since 1970, with as many digits as today's.
 const BOOTED_MS: u64 = 1_796_000_000_000;
-/// A cluster's name.
+/// The name of the cluster.
 const CLUSTER: &str = "capacity";
 
 /// A worker's name.
@@ -23,8 +25,8 @@
     format!("10.{}.{}.{}:8080", 100 + (worker >> 16), (worker >> 8) & 255, worker & 255)
 }
 
-/// A list as the list service writes it in JSON: whole, or a change of these workers.
-pub fn json_list(whole: bool, workers: std::ops::Range<u32>) -> String {
+/// An endpoint list of these workers as the discovery service writes it in JSON: complete, or a change.
+pub fn json_list(complete: bool, workers: std::ops::Range<u32>) -> String {
     let line = |worker| {
         json!({
             "uid": uid(worker), "endpoint": endpoint(worker), "az": ZONE, "model": KIND, "pod_group": worker / 4,
@@ -32,10 +34,10 @@
         })
     };
     let lines: Vec<_> = workers.map(line).collect();
-    json!({"rev": 1_000_000, "all": whole, "targets": lines}).to_string()
+    json!({"rev": 1_000_000, "all": complete, "targets": lines}).to_string()
 }
 
-/// A worker as members of `crates/peers` pass it on.
+/// A worker in the form in which members of `crates/peers` exchange it.
 pub fn target(worker: u32) -> Target {
     Target {
         uid: uid(worker),
@@ -49,7 +51,7 @@
     }
 }
 
-/// A member's whole list as a frame of `crates/peers`.
+/// The complete list of a member as a frame of `crates/peers`.
 pub fn peer_frame(workers: u32) -> Vec<u8> {
     let after = Version { generation: 1, rev: 1_000_000, digest: u64::MAX };
     let targets = (0..workers).map(target).collect();
@@ -62,7 +64,7 @@
     )
 }
 
-/// The settings of a configuration with so many teams, as they stand in JSON.
+/// The settings with this number of teams, as JSON of the configuration.
 pub fn json_settings(teams: u32) -> String {
     let parties: Vec<_> =
         (0..teams).map(|team| json!({"name": format!("team-{team:04}"), "quotaPerS": 1.36})).collect();
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -1,48 +1,64 @@
-//! Processor time and memory of a piece of work on this thread.
+//! Processor time and memory of an operation on this thread.
 
 use crate::error::CapacityError;
 use nix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// What some work took.
+/// Resources that an operation used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
-    /// Processor time of this thread.
+pub struct ResourceUsage {
+    /// Processor time of the thread.
     pub processor: Duration,
     /// Allocations made.
     pub allocations: u64,
-    /// Bytes allocated and not given back.
-    pub bytes_kept: i64,
+    /// Bytes allocated and not freed.
+    pub bytes_retained: i64,
 }
 
-impl Spent {
+impl ResourceUsage {
     /// Processor time in microseconds.
     pub fn processor_us(&self) -> f64 {
         self.processor.as_secs_f64() * 1e6
     }
 }
 
-impl std::ops::AddAssign for Spent {
-    fn add_assign(&mut self, other: Spent) {
+impl std::ops::Sub for ResourceUsage {
+    type Output = ResourceUsage;
+
+    fn sub(self, earlier: ResourceUsage) -> ResourceUsage {
+        ResourceUsage {
+            processor: self.processor - earlier.processor,
+            allocations: self.allocations - earlier.allocations,
+            bytes_retained: self.bytes_retained - earlier.bytes_retained,
+        }
+    }
+}
+
+impl std::ops::AddAssign for ResourceUsage {
+    fn add_assign(&mut self, other: ResourceUsage) {
         self.processor += other.processor;
         self.allocations += other.allocations;
-        self.bytes_kept += other.bytes_kept;
+        self.bytes_retained += other.bytes_retained;
     }
 }
 
-/// Does some work and measures what it took. The processor time contains that of counting allocations.
+/// Runs an operation and measures its resources. The processor time includes that of counting allocations.
 ///
 /// # Errors
 /// [`CapacityError::Clock`] if the processor time cannot be read.
-pub fn measure<T>(work: impl FnOnce() -> T) -> Result<(T, Spent), CapacityError> {
-    let mut done = None;
+pub fn measure<T>(operation: impl FnOnce() -> T) -> Result<(T, ResourceUsage), CapacityError> {
+    let mut result = None;
     let before = processor_time()?;
-    let allocated = allocation_counter::measure(|| done = Some(work()));
+    let allocated = allocation_counter::measure(|| result = Some(operation()));
     let processor = processor_time()?.saturating_sub(before);
-    let spent = Spent { processor, allocations: allocated.count_total, bytes_kept: allocated.bytes_current };
-    match done {
-        Some(done) => Ok((done, spent)),
-        None => unreachable!("the work was done"),
+    let usage = ResourceUsage {
+        processor,
+        allocations: allocated.count_total,
+        bytes_retained: allocated.bytes_current,
+    };
+    match result {
+        Some(result) => Ok((result, usage)),
+        None => unreachable!("the operation has run"),
     }
 }
 
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -22,7 +22,7 @@
         sorted
     }
 
-    /// The middle one of the plays; of two in the middle, the lower.
+    /// The median of the plays; of two in the middle, the lower.
     pub fn median(&self) -> f64 {
         let sorted = self.sorted();
         sorted.get(sorted.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
@@ -42,13 +42,13 @@
 /// One figure over all sizes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Series {
-    /// What it is.
+    /// Its name.
     pub name: &'static str,
-    /// What it is counted in.
+    /// Its unit.
     pub unit: &'static str,
-    /// Whether it varies from play to play of one seed.
+    /// Whether it is the same for the same seed.
     pub kind: Kind,
-    /// By size.
+    /// The measured values by size.
     pub points: Vec<Measured>,
     /// Fitted to the medians; none where there are too few sizes.
     pub law: Option<Law>,
@@ -83,12 +83,12 @@
 }
 
 impl Report {
-    /// Without figures.
+    /// A report without figures.
     pub fn new(experiment: &'static str, size_is: &'static str, seed: u64, plays: u32) -> Report {
         Report { experiment, size_is, seed, plays, series: Vec::new() }
     }
 
-    /// Takes in a play of a size.
+    /// Adds the figures of one play of a size.
     pub fn add(&mut self, size: u32, figures: &[Figure]) {
         for figure in figures {
             let points = self.points_of(figure);
@@ -110,7 +110,9 @@
 
     /// Fits each figure to a line.
     pub fn fit(&mut self) {
-        self.series.iter_mut().for_each(Series::fit);
+        for series in &mut self.series {
+            series.fit();
+        }
     }
 
     /// A figure by its name.
@@ -123,10 +125,10 @@
     /// # Errors
     /// [`CapacityError::Json`] if they cannot be serialized.
     pub fn json(&self) -> Result<String, CapacityError> {
-        serde_json::to_string_pretty(self).map_err(CapacityError::Json)
+        Ok(serde_json::to_string_pretty(self)?)
     }
 
-    /// The figures as a table: by size the median, with the least and the most where plays differ.
+    /// The figures as a table in Markdown: for each size the median, with the least and the largest value if plays differ.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
@@ -181,7 +183,7 @@
     format!("{} ({} to {})", number(measured.median()), number(least), number(most))
 }
 
-/// A number with about three digits that count.
+/// A number with about three significant digits.
 pub fn number(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -1,4 +1,4 @@
-//! A bounded run of an experiment: several sizes, several plays of each.
+//! A run of an experiment with limits: several sizes, several plays of each.
 
 use crate::error::CapacityError;
 use crate::experiment::Experiment;
@@ -6,28 +6,28 @@
 use crate::report::Report;
 use std::time::{Duration, Instant};
 
-/// Most plays of a size.
+/// The largest number of plays of a size.
 pub const MOST_PLAYS: u32 = 20;
-/// Most sizes of a run.
+/// The largest number of sizes of a run.
 pub const MOST_SIZES: u64 = 16;
-/// The longest run that can be asked for, in seconds.
+/// The longest time limit of a run, in seconds.
 pub const MOST_SECONDS: u64 = 600;
 
-/// What is to be run.
+/// The parameters of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The sizes; none: those of the experiment.
+    /// The sizes; if empty, those of the experiment.
     pub sizes: Vec<u32>,
     /// Plays of each size.
     pub plays: u32,
     /// The seed of the first play.
     pub seed: u64,
-    /// The run ends with an error after so many seconds.
+    /// The time limit of the run, in seconds; it then ends with an error.
     pub most_seconds: u64,
 }
 
 impl Plan {
-    /// The sizes to play, each once, in order.
+    /// The sizes to play, each once, in ascending order.
     fn sizes_of(&self, experiment: &Experiment) -> Result<Vec<u32>, CapacityError> {
         let mut sizes = if self.sizes.is_empty() { experiment.sizes.to_vec() } else { self.sizes.clone() };
         sizes.sort_unstable();
@@ -59,16 +59,17 @@
 /// Runs an experiment.
 ///
 /// # Errors
-/// A plan out of its bounds, a run that takes longer than the plan allows, or the error of a play.
+/// [`CapacityError::OutOfRange`] or [`CapacityError::TooFewSizes`] for an invalid plan, [`CapacityError::OutOfTime`] for a run
+/// that exceeds its time limit, or the error of a play.
 pub fn run(experiment: &Experiment, plan: &Plan) -> Result<Report, CapacityError> {
     plan.check()?;
     let sizes = plan.sizes_of(experiment)?;
-    let until = Instant::now() + Duration::from_secs(plan.most_seconds);
+    let deadline = Instant::now() + Duration::from_secs(plan.most_seconds);
     let mut report = Report::new(experiment.name, experiment.size_is, plan.seed, plan.plays);
-    // All sizes in each turn, so that a disturbance of the machine does not fall on one size alone.
+    // All sizes are played in each round, so that a disturbance of the machine does not affect one size alone.
     for play in 0..plan.plays {
         for &size in &sizes {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(CapacityError::OutOfTime { seconds: plan.most_seconds, size });
             }
             let figures = (experiment.play)(size, plan.seed + u64::from(play))?;
--- /dev/null
+++ b/crates/capacity/src/simulated_members.rs
@@ -0,0 +1,435 @@
+//! Simulated members: dispatchers in one membership (`crates/peers`) in simulated time, with the discovery service that some
+//! of them watch. No message is lost and no member stops: faults are covered by the tests of that crate.
+
+use crate::listing;
+use crate::{Micros, SECOND};
+use oorandom::Rand64;
+use roselock_peers::codec;
+use roselock_peers::count::Fleet;
+use roselock_peers::lists::News;
+use roselock_peers::member::Member;
+use roselock_peers::peers::{Action, Event, Peers, Settings, WatchMode};
+use roselock_peers::wire::{FrameBody, PacketBody, Target};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::net::SocketAddr;
+
+/// Members whose addresses are configured as seeds.
+const SEED_MEMBERS: u32 = 3;
+/// Members that watch the discovery service.
+const WATCHERS: usize = 6;
+/// The number of zones.
+const ZONE_COUNT: u32 = 10;
+/// The shortest delay of a datagram, in microseconds; that of a TCP frame is three times as long.
+const MIN_DELAY_US: u64 = 200;
+/// The upper bound of the delay of a datagram, in microseconds.
+const MAX_DELAY_US: u64 = 1_000;
+/// The duration of a request to the discovery service.
+const CALL_DURATION: Micros = 5_000;
+/// The interval between two heartbeats of an open watch.
+const HEARTBEAT_INTERVAL: Micros = 2 * SECOND;
+/// The longest partition after which members still count as alive.
+const LONGEST_PARTITION: Micros = 300 * SECOND;
+/// The age at which an endpoint list is stale.
+const STALE_AFTER: Micros = 10 * SECOND;
+/// The limit of the members.
+const MAX_MEMBERS: usize = 8_192;
+/// The members' cluster.
+const CLUSTER: &str = "capacity";
+/// Bytes of the length prefix of a frame.
+const FRAME_LENGTH_BYTES: usize = 4;
+
+/// An event at a point in simulated time; members are named by their index.
+enum Occurrence {
+    /// The timer of a member; it is cancelled if the member has set a later generation.
+    TimerFired(usize, u64),
+    Datagram(usize, Vec<u8>),
+    RequestArrived {
+        from: usize,
+        to: usize,
+        frame: Vec<u8>,
+    },
+    ResponseArrived {
+        to: usize,
+        at: SocketAddr,
+        answer: Option<Vec<u8>>,
+    },
+    ListReceived(usize),
+    WatchEvent(usize, News),
+    Heartbeat,
+}
+
+struct SimulatedMember {
+    peers: Peers,
+    /// The generation of its latest timer.
+    timer_generation: u64,
+    watches: bool,
+    started_at: Micros,
+    list_received_at: Option<Micros>,
+    /// The latest version that it has, and when it received that.
+    notified: Option<Notification>,
+    frame_bytes: u64,
+}
+
+/// A version of the endpoint list as received by a member.
+#[derive(Clone, Copy)]
+struct Notification {
+    version: u64,
+    at: Micros,
+}
+
+/// Traffic of all members since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Traffic {
+    /// Datagrams.
+    pub packets: u64,
+    /// Bytes of the datagrams.
+    pub bytes: u64,
+    /// Bytes of the datagrams that carry a change of the endpoint list.
+    pub change_bytes: u64,
+    /// Bytes of responses over TCP.
+    pub frame_bytes: u64,
+    /// The largest exchange of membership lists, in bytes of both directions.
+    pub largest_exchange: u64,
+}
+
+/// The members, their discovery service and the simulated time.
+pub struct Members {
+    now: Micros,
+    count: u32,
+    members: Vec<SimulatedMember>,
+    queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
+    pending: Vec<Option<Occurrence>>,
+    free_slots: Vec<usize>,
+    scheduled_count: u64,
+    random: Rand64,
+    endpoints: Vec<Target>,
+    version: u64,
+    changed_at: Micros,
+    largest_exchange: u64,
+    change_bytes: u64,
+}
+
+/// The address of the member with this index.
+fn member_address(member: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (member >> 8) as u8, member as u8], 7_000))
+}
+
+/// Whether a datagram carries a change of the endpoint list.
+fn is_change(packet: &[u8]) -> bool {
+    matches!(codec::decode_packet(codec::cluster_hash(CLUSTER), packet), Ok(PacketBody::Change(_)))
+}
+
+/// Whether a frame is an exchange of membership lists.
+fn is_exchange(frame: &[u8]) -> bool {
+    let decoded = codec::decode_frame(codec::cluster_hash(CLUSTER), frame);
+    matches!(decoded, Ok((_, FrameBody::Members(_))))
+}
+
+/// The index of the member with this address.
+fn member_index(at: SocketAddr) -> usize {
+    match at {
+        SocketAddr::V4(at) => {
+            let [_, _, high, low] = at.ip().octets();
+            usize::from(high) << 8 | usize::from(low)
+        }
+        SocketAddr::V6(_) => usize::MAX,
+    }
+}
+
+impl Members {
+    /// A discovery service with `workers` workers for `count` members, of which none has started.
+    pub fn new(count: u32, workers: u32, seed: u64) -> Members {
+        let mut members = Members {
+            now: 0,
+            count,
+            members: Vec::new(),
+            queue: BinaryHeap::new(),
+            pending: Vec::new(),
+            free_slots: Vec::new(),
+            scheduled_count: 0,
+            random: Rand64::new(u128::from(seed)),
+            endpoints: (0..workers).map(listing::target).collect(),
+            version: 1,
+            changed_at: 0,
+            largest_exchange: 0,
+            change_bytes: 0,
+        };
+        members.schedule(HEARTBEAT_INTERVAL, Occurrence::Heartbeat);
+        members
+    }
+
+    /// Starts the next member.
+    pub fn start(&mut self) {
+        let me = self.members.len();
+        let seed = self.random.rand_u64();
+        let peers = Peers::new(self.settings(me), seed, self.now);
+        self.members.push(SimulatedMember {
+            peers,
+            timer_generation: 0,
+            watches: false,
+            started_at: self.now,
+            list_received_at: None,
+            notified: None,
+            frame_bytes: 0,
+        });
+        self.set_timer(me);
+    }
+
+    /// Starts all members within a second.
+    pub fn start_all(&mut self) {
+        for member in 0..self.count {
+            self.run_until(self.now.max(i64::from(member) * SECOND / i64::from(self.count)));
+            self.start();
+        }
+    }
+
+    fn settings(&self, me: usize) -> Settings {
+        let generation = 1 + self.now as u64 / 1_000;
+        let zone = format!("zone-{}", me as u32 % ZONE_COUNT);
+        let name = format!("dispatcher-{me:04}");
+        Settings {
+            me: Member {
+                name: name.as_str().into(),
+                address: member_address(me),
+                generation,
+                renewal: 0,
+                zone: zone.as_str().into(),
+                number: me as u32,
+            },
+            cluster: CLUSTER.into(),
+            seeds: (0..SEED_MEMBERS.min(self.count)).map(|seed| member_address(seed as usize)).collect(),
+            configured: Fleet { size: self.count, me: me as u32 },
+            askers: WATCHERS,
+            stale_after: STALE_AFTER,
+            heal: LONGEST_PARTITION,
+            max_members: MAX_MEMBERS,
+        }
+    }
+
+    /// The simulated time.
+    pub fn now(&self) -> Micros {
+        self.now
+    }
+
+    /// The traffic since the start.
+    pub fn traffic(&self) -> Traffic {
+        let mut traffic = Traffic {
+            change_bytes: self.change_bytes,
+            largest_exchange: self.largest_exchange,
+            ..Traffic::default()
+        };
+        for member in &self.members {
+            let (packets, bytes) = member.peers.figures().sent;
+            traffic.packets += packets;
+            traffic.bytes += bytes;
+            traffic.frame_bytes += member.frame_bytes;
+        }
+        traffic
+    }
+
+    /// The time from the start of each member to its first endpoint list, sorted; none while a member has no list.
+    pub fn list_delays(&self) -> Option<Vec<Micros>> {
+        let delay = |member: &SimulatedMember| member.list_received_at.map(|at| at - member.started_at);
+        let mut all = self.members.iter().map(delay).collect::<Option<Vec<Micros>>>()?;
+        all.sort_unstable();
+        Some(all)
+    }
+
+    /// The time from the latest change to its arrival at each member, sorted; none while a member does not have it.
+    pub fn notification_delays(&self) -> Option<Vec<Micros>> {
+        let delay = |member: &SimulatedMember| {
+            let latest = member.notified.filter(|notification| notification.version == self.version)?;
+            Some(latest.at - self.changed_at)
+        };
+        let mut all = self.members.iter().map(delay).collect::<Option<Vec<Micros>>>()?;
+        all.sort_unstable();
+        Some(all)
+    }
+
+    /// Whether each member knows all others.
+    pub fn all_members_connected(&self) -> bool {
+        self.members.iter().all(|member| member.peers.live().len() + 1 == self.members.len())
+    }
+
+    /// Drains one worker: the discovery service notifies the members that watch it.
+    pub fn drain_worker(&mut self, worker: u32) {
+        self.version += 1;
+        self.changed_at = self.now;
+        let target = &mut self.endpoints[worker as usize];
+        target.state = 2;
+        let news = News { whole: false, rev: self.version, targets: vec![target.clone()], asked: 0 };
+        for member in 0..self.members.len() {
+            if self.members[member].watches {
+                let at = self.now + self.random_delay();
+                self.schedule(at, Occurrence::WatchEvent(member, news.clone()));
+            }
+        }
+    }
+
+    /// Advances the simulated time.
+    pub fn run_until(&mut self, until: Micros) {
+        while let Some(Reverse((at, _, slot))) = self.queue.peek().copied().filter(|next| next.0.0 <= until) {
+            self.queue.pop();
+            self.free_slots.push(slot);
+            self.now = self.now.max(at);
+            if let Some(occurrence) = self.pending[slot].take() {
+                self.handle(occurrence);
+            }
+        }
+        self.now = self.now.max(until);
+    }
+
+    fn random_delay(&mut self) -> Micros {
+        self.random.rand_range(MIN_DELAY_US..MAX_DELAY_US) as Micros
+    }
+
+    fn schedule(&mut self, at: Micros, occurrence: Occurrence) {
+        self.scheduled_count += 1;
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.pending.push(None);
+            self.pending.len() - 1
+        });
+        self.pending[slot] = Some(occurrence);
+        self.queue.push(Reverse((at, self.scheduled_count, slot)));
+    }
+
+    /// Schedules the timer of a member by its next deadline; earlier timers no longer count.
+    fn set_timer(&mut self, index: usize) {
+        let member = &mut self.members[index];
+        member.timer_generation += 1;
+        let generation = member.timer_generation;
+        let deadline = member.peers.next_deadline();
+        self.schedule(deadline.max(self.now), Occurrence::TimerFired(index, generation));
+    }
+
+    /// Passes an event to a member and performs its actions.
+    fn handle_event(&mut self, member: usize, event: Event) {
+        let mut actions = Vec::new();
+        let peers = &mut self.members[member].peers;
+        let deadline = peers.next_deadline();
+        peers.handle(self.now, event, &mut actions);
+        let deadline_changed = peers.next_deadline() != deadline;
+        for action in actions {
+            self.apply(member, action);
+        }
+        if deadline_changed {
+            self.set_timer(member);
+        }
+    }
+
+    fn apply(&mut self, member: usize, action: Action) {
+        match action {
+            Action::Send(to, packet) => {
+                let to = member_index(to);
+                let at = self.now + self.random_delay();
+                // The list changes only through `drain_worker`: before that no packet needs decoding.
+                if self.version > 1 && is_change(&packet) {
+                    self.change_bytes += packet.len() as u64;
+                }
+                if to < self.members.len() {
+                    self.schedule(at, Occurrence::Datagram(to, packet));
+                }
+            }
+            Action::Request(to, frame) => self.send_request(member, to, &frame),
+            Action::UpdateHosts(..) => self.record_list(member),
+            Action::Watch(mode) => self.set_watch_mode(member, mode),
+            Action::ReloadList(_) => {
+                self.members[member].watches = false;
+                self.schedule(self.now + CALL_DURATION, Occurrence::ListReceived(member));
+            }
+            Action::Fleet(_) | Action::MemberChanged(_) => {}
+        }
+    }
+
+    fn send_request(&mut self, from: usize, at: SocketAddr, frame: &[u8]) {
+        let to = member_index(at);
+        let when = self.now + 3 * self.random_delay();
+        if to < self.members.len() {
+            self.schedule(
+                when,
+                Occurrence::RequestArrived { from, to, frame: frame[FRAME_LENGTH_BYTES..].to_vec() },
+            );
+        } else {
+            self.schedule(when, Occurrence::ResponseArrived { to: from, at, answer: None });
+        }
+    }
+
+    /// Records that a member has a new endpoint list.
+    fn record_list(&mut self, member: usize) {
+        let now = self.now;
+        let member = &mut self.members[member];
+        member.list_received_at.get_or_insert(now);
+        let version = member.peers.list(now).map_or(0, |list| list.0.rev);
+        if member.notified.is_none_or(|notification| notification.version != version) {
+            member.notified = Some(Notification { version, at: now });
+        }
+    }
+
+    fn set_watch_mode(&mut self, member: usize, mode: WatchMode) {
+        let watches = self.members[member].watches;
+        match mode {
+            WatchMode::Off if watches => {
+                self.members[member].watches = false;
+                self.handle_event(member, Event::WatchClosed);
+            }
+            WatchMode::Now | WatchMode::Paced if !watches => {
+                self.schedule(self.now + CALL_DURATION, Occurrence::ListReceived(member))
+            }
+            WatchMode::Off | WatchMode::Now | WatchMode::Paced => {}
+        }
+    }
+
+    fn handle(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::TimerFired(member, generation) => {
+                if self.members[member].timer_generation == generation {
+                    self.handle_event(member, Event::Tick);
+                    self.set_timer(member);
+                }
+            }
+            Occurrence::Datagram(to, packet) => self.handle_event(to, Event::Datagram(&packet)),
+            Occurrence::RequestArrived { from, to, frame } => self.request_arrived(from, to, &frame),
+            Occurrence::ResponseArrived { to, at, answer } => {
+                self.handle_event(to, Event::Response(at, answer.as_deref()))
+            }
+            Occurrence::ListReceived(member) => {
+                self.members[member].watches = true;
+                let asked = self.now - CALL_DURATION;
+                let news = News { whole: true, rev: self.version, targets: self.endpoints.clone(), asked };
+                self.handle_event(member, Event::ListNews(news));
+            }
+            Occurrence::WatchEvent(member, news) => {
+                if self.members[member].watches {
+                    self.handle_event(member, Event::ListNews(news));
+                }
+            }
+            Occurrence::Heartbeat => {
+                let watching: Vec<usize> =
+                    (0..self.members.len()).filter(|member| self.members[*member].watches).collect();
+                for member in watching {
+                    self.handle_event(member, Event::WatchAlive);
+                }
+                self.schedule(self.now + HEARTBEAT_INTERVAL, Occurrence::Heartbeat);
+            }
+        }
+    }
+
+    fn request_arrived(&mut self, from: usize, to: usize, frame: &[u8]) {
+        let mut actions = Vec::new();
+        let answer = self.members[to].peers.handle_request(self.now, frame, &mut actions);
+        let answered = answer.as_ref().map_or(0, Vec::len) as u64;
+        self.members[to].frame_bytes += answered;
+        if is_exchange(frame) {
+            let exchanged = (FRAME_LENGTH_BYTES + frame.len()) as u64 + answered;
+            self.largest_exchange = self.largest_exchange.max(exchanged);
+        }
+        for action in actions {
+            self.apply(to, action);
+        }
+        let at = member_address(to);
+        let when = self.now + 3 * self.random_delay();
+        let answer = answer.map(|whole| whole[FRAME_LENGTH_BYTES..].to_vec());
+        self.schedule(when, Occurrence::ResponseArrived { to: from, at, answer });
+    }
+}
--- a/crates/capacity/src/site.rs
+++ b/crates/capacity/src/site.rs
@@ -1,4 +1,4 @@
-//! The installation that hollow dispatchers are told of: settings and workers at the size that is asked for.
+//! The simulated installation: settings and workers at the requested size.
 
 use crate::{Micros, SECOND};
 use roselock::{
@@ -6,38 +6,41 @@
     Limits, ListMode, Safety, Settings, Tenant, TenantId, WorkerId, ZoneId,
 };
 
-/// Workers of the target.
+/// Workers of the target installation.
 pub const TARGET_WORKERS: u32 = 2_900;
-/// Teams with quotas of the target.
+/// Teams with quotas of the target installation.
 pub const TARGET_TEAMS: u32 = 220;
-/// Zones of the target, in three regions.
+/// Zones of the target installation, in three regions.
 pub const TARGET_ZONES: u32 = 10;
-/// Dispatchers, where nothing else is said.
+/// Dispatchers of the target installation.
 pub const TARGET_DISPATCHERS: u32 = 300;
-/// Starts a second of the target, over all dispatchers.
+/// Task starts per second of the target installation, over all dispatchers.
 pub const TARGET_STARTS: f64 = 300.0;
 
-/// Workers of a cell.
-const CELL: u32 = 4;
-/// Machine kinds.
-const KINDS: u32 = 2;
-/// A worker is warm so long after its start, and starts with this share of its capacity.
-const COLD: Micros = 24 * SECOND;
-const COLD_SHARE: f64 = 0.15;
-/// Classes: one whose jobs may be repeated and one whose jobs may not, with their aims.
-const SAFE_AIM: Micros = SECOND / 5;
-const UNSAFE_AIM: Micros = SECOND / 4;
-/// Urgent tasks start within this span, and are worth so many others.
-pub const URGENT_AIM: Micros = 2 * SECOND;
-const URGENT_WORTH: f64 = 4.0;
+/// Workers per cell.
+const WORKERS_PER_CELL: u32 = 4;
+/// The number of machine kinds.
+const MACHINE_KINDS: u32 = 2;
+/// The duration of slow start.
+const SLOW_START_WINDOW: Micros = 24 * SECOND;
+/// The fraction of its capacity that a worker has at its start.
+const INITIAL_CAPACITY_FRACTION: f64 = 0.15;
+/// The latency objective of the class with idempotent jobs.
+const IDEMPOTENT_OBJECTIVE: Micros = SECOND / 5;
+/// The latency objective of the class with jobs that are not idempotent.
+const NON_IDEMPOTENT_OBJECTIVE: Micros = SECOND / 4;
+/// The latency objective of urgent tasks: they are to start within this span.
+pub const URGENT_OBJECTIVE: Micros = 2 * SECOND;
+/// The priority weight of an urgent task; that of others is 1.
+const URGENT_PRIORITY_WEIGHT: f64 = 4.0;
 /// The index of the class of urgent tasks.
-const URGENT: u16 = 2;
-/// A client's patience.
-pub const PATIENCE: Micros = 300 * SECOND;
-/// Least span between two steps.
+const URGENT_CLASS: u16 = 2;
+/// The time-out of clients.
+pub const CLIENT_TIMEOUT: Micros = 300 * SECOND;
+/// The shortest span between two steps.
 const TICK: Micros = SECOND / 200;
 
-/// What an installation is.
+/// An installation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Site {
     /// Workers.
@@ -50,14 +53,14 @@
     pub zones: u32,
     /// Dispatchers that share the workers.
     pub dispatchers: u32,
-    /// All workers have just started.
-    pub cold: bool,
-    /// There is a third class, whose tasks are to start within [`URGENT_AIM`].
+    /// Whether all workers have just started.
+    pub warming_up: bool,
+    /// Whether there is a third class, whose tasks are to start within [`URGENT_OBJECTIVE`].
     pub urgent: bool,
 }
 
 impl Site {
-    /// The target, with so many workers.
+    /// The target installation with this number of workers.
     pub fn target(workers: u32) -> Site {
         Site {
             workers,
@@ -65,20 +68,20 @@
             teams: TARGET_TEAMS,
             zones: TARGET_ZONES,
             dispatchers: TARGET_DISPATCHERS,
-            cold: false,
+            warming_up: false,
             urgent: false,
         }
     }
 
-    /// What one dispatcher is told at its start. The figures are those of the site portal-norte.
+    /// The settings of one dispatcher, with the values of the site portal-norte.
     pub fn settings(&self) -> Settings {
         let mut classes = vec![
-            class(Idempotency::Idempotent, SAFE_AIM, 1.75),
-            class(Idempotency::NonIdempotent, UNSAFE_AIM, 2.0),
+            class(Idempotency::Idempotent, IDEMPOTENT_OBJECTIVE, 1.75),
+            class(Idempotency::NonIdempotent, NON_IDEMPOTENT_OBJECTIVE, 2.0),
         ];
         if self.urgent {
-            let urgent = class(Idempotency::Idempotent, URGENT_AIM, 1.0);
-            classes.push(Class { priority_weight: URGENT_WORTH, ..urgent });
+            let urgent = class(Idempotency::Idempotent, URGENT_OBJECTIVE, 1.0);
+            classes.push(Class { priority_weight: URGENT_PRIORITY_WEIGHT, ..urgent });
         }
         let mut settings = Settings::new(classes);
         settings.fleet_size = self.dispatchers;
@@ -93,8 +96,8 @@
         settings.costs = Costs { cross_zone: 0.03, handshake: 0.02, wasted_work: 0.05, ..Costs::default() };
         settings.safety = Safety {
             poll_interval: 10 * SECOND,
-            initial_capacity_fraction: COLD_SHARE,
-            slow_start_window: COLD,
+            initial_capacity_fraction: INITIAL_CAPACITY_FRACTION,
+            slow_start_window: SLOW_START_WINDOW,
             overload_multiple: 4.0,
             overload_window: SECOND,
             ..Safety::default()
@@ -103,65 +106,65 @@
     }
 
     fn tenants(&self) -> Vec<Tenant> {
-        let quota_per_s = crate::site::TARGET_STARTS / f64::from(self.teams.max(1));
+        let quota_per_s = TARGET_STARTS / f64::from(self.teams.max(1));
         (0..self.teams).map(|_| Tenant { quota_per_s }).collect()
     }
 
-    /// One worker as the list has it.
+    /// The entry of one worker in the endpoint list.
     pub fn entry(&self, worker: u32, state: EndpointState, now: Micros) -> Endpoint {
         Endpoint {
             worker: WorkerId(u64::from(worker)),
             state,
             zone: ZoneId((worker % self.zones.max(1)) as u16),
-            cell: CellId(worker / CELL),
-            kind: KindId((worker % KINDS) as u16),
+            cell: CellId(worker / WORKERS_PER_CELL),
+            kind: KindId((worker % MACHINE_KINDS) as u16),
             units: f64::from(self.accelerators),
-            started_at: self.cold.then_some(now),
+            started_at: self.warming_up.then_some(now),
         }
     }
 
-    /// The whole list, all workers ready; `started` is when they started, where they are cold.
-    pub fn whole_list(&self, started: Micros) -> Event {
+    /// The complete list with all workers ready; `started` is their start time if they are warming up.
+    pub fn complete_list(&self, started: Micros) -> Event {
         let entries =
             (0..self.workers).map(|worker| self.entry(worker, EndpointState::Ready, started)).collect();
         Event::EndpointList { mode: ListMode::Complete, endpoints: entries }
     }
 
-    /// A change of one line.
+    /// A change of one worker.
     pub fn change(&self, worker: u32, state: EndpointState) -> Event {
         self.changes(worker..worker + 1, state)
     }
 
-    /// A change of several lines at once.
+    /// A change of several workers at once.
     pub fn changes(&self, workers: std::ops::Range<u32>, state: EndpointState) -> Event {
         let entries = workers.map(|worker| self.entry(worker, state, 0)).collect();
         Event::EndpointList { mode: ListMode::Changes, endpoints: entries }
     }
 
-    /// A request that is urgent or not; what else it is follows from a number that was drawn.
+    /// A request; its team and its class, unless it is urgent, follow from a random number.
     pub fn job(&self, id: u32, draw: u32, urgent: bool) -> JobRequest {
-        let team = (self.teams > 0).then(|| TenantId((draw % self.teams) as u16));
+        let tenant = (self.teams > 0).then(|| TenantId((draw % self.teams) as u16));
         JobRequest {
             job: JobId(id),
-            class: ClassId(if urgent { URGENT } else { (draw % 2) as u16 }),
-            tenant: team,
+            class: ClassId(if urgent { URGENT_CLASS } else { (draw % 2) as u16 }),
+            tenant,
             slots: 1.0,
             memory: 0.0,
             work_hint: None,
             key: None,
-            budget: PATIENCE,
+            budget: CLIENT_TIMEOUT,
         }
     }
 }
 
-fn class(effect: Idempotency, promise: Micros, stretch: f64) -> Class {
+fn class(idempotency: Idempotency, latency_objective: Micros, objective_per_work: f64) -> Class {
     Class {
         priority_weight: 1.0,
         late_answer_fraction: 0.5,
-        latency_objective: promise,
-        objective_per_work: stretch,
-        client_timeout: PATIENCE,
-        idempotency: effect,
+        latency_objective,
+        objective_per_work,
+        client_timeout: CLIENT_TIMEOUT,
+        idempotency,
         streaming: false,
         kind: None,
     }
