--- a/crates/gearman-conformance/src/defect.rs
+++ b/crates/gearman-conformance/src/defect.rs
@@ -1,31 +1,31 @@
-//! A server with a fault on purpose: a relay in front of a sound one.
+//! Fault injection: a relay in front of a server that breaks its responses.
 
 use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic, packet};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// What is wrong with it.
+/// How the relay breaks responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing: the relay itself.
+    /// Not at all.
     None,
     /// Sleeping workers are not woken.
     LostNoop,
-    /// A client hears twice of a job's end.
+    /// A client receives the end of a job twice.
     DoubledComplete,
-    /// Nobody is told how a job stands.
+    /// Responses about the status of a job are dropped.
     SilentStatus,
-    /// The handle that a client is given is not the one that later words bear.
+    /// The handle of a new job differs from that in later packets.
     WrongHandle,
-    /// Data of a job comes without its last byte.
+    /// The data of a job lack the last byte.
     ShortData,
-    /// Exceptions reach those who did not ask for them... as warnings.
+    /// Exceptions are relayed as warnings.
     ExceptionAsWarning,
-    /// Progress is told with its two numbers exchanged.
+    /// The two numbers of a progress report are swapped.
     SwappedStatus,
 }
 
-/// All but none.
+/// All defects, without [`Defect::None`].
 pub const DEFECTS: [Defect; 7] = [
     Defect::LostNoop,
     Defect::DoubledComplete,
@@ -36,38 +36,40 @@
     Defect::SwappedStatus,
 ];
 
-/// Starts the relay; where it listens. It ends with the process.
+/// Starts the relay and returns its address. It ends with the process.
 ///
 /// # Panics
-/// Where there is no port to be had.
-pub fn relay(to: SocketAddr, defect: Defect) -> SocketAddr {
+/// If there is no free port.
+pub fn relay(server: SocketAddr, defect: Defect) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
-        for near in listener.incoming().map_while(Result::ok) {
-            let Ok(far) = TcpStream::connect(to) else { continue };
-            let _ = (near.set_nodelay(true), far.set_nodelay(true));
-            let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else { continue };
-            std::thread::spawn(move || copy(near2, far2));
-            std::thread::spawn(move || answers(far, near, defect));
+        for client in listener.incoming().map_while(Result::ok) {
+            let Ok(upstream) = TcpStream::connect(server) else { continue };
+            let _ = client.set_nodelay(true);
+            let _ = upstream.set_nodelay(true);
+            let Ok(requests) = client.try_clone() else { continue };
+            let Ok(requests_out) = upstream.try_clone() else { continue };
+            std::thread::spawn(move || relay_requests(requests, requests_out));
+            std::thread::spawn(move || relay_responses(upstream, client, defect));
         }
     });
     at
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream) {
+fn relay_requests(mut from: TcpStream, mut to: TcpStream) {
     let _ = std::io::copy(&mut from, &mut to);
     let _ = to.shutdown(Shutdown::Both);
 }
 
-fn answers(mut from: TcpStream, mut to: TcpStream, defect: Defect) {
+fn relay_responses(mut from: TcpStream, mut to: TcpStream, defect: Defect) {
     let mut decoder = Decoder::new(Magic::Res, Limits { packet: 64 << 20, line: 1 << 20 });
     let mut buffer = vec![0; 65536];
-    'reading: while let Ok(n @ 1..) = from.read(&mut buffer) {
-        decoder.feed(&buffer[..n]);
+    'reading: while let Ok(length @ 1..) = from.read(&mut buffer) {
+        decoder.feed(&buffer[..length]);
         while let Ok(Some(frame)) = decoder.next_frame() {
             let bytes = match frame {
-                Frame::Packet(kind, data) => spoil(kind, data, defect),
+                Frame::Packet(kind, data) => corrupt(kind, data, defect),
                 Frame::Line(mut line) => {
                     line.push(b'\n');
                     line
@@ -79,31 +81,35 @@
             }
         }
     }
-    let _ = (to.shutdown(Shutdown::Both), from.shutdown(Shutdown::Both));
+    let _ = to.shutdown(Shutdown::Both);
+    let _ = from.shutdown(Shutdown::Both);
 }
 
-fn spoil(kind: Kind, mut data: Vec<u8>, defect: Defect) -> Vec<u8> {
-    let whole = |kind, data: &[u8]| packet(Magic::Res, kind, &[data]);
+/// The bytes in place of a packet.
+fn corrupt(kind: Kind, mut data: Vec<u8>, defect: Defect) -> Vec<u8> {
+    let encode = |kind, data: &[u8]| packet(Magic::Res, kind, &[data]);
     match (defect, kind) {
         (Defect::LostNoop, Kind::Noop) | (Defect::SilentStatus, Kind::StatusRes) => Vec::new(),
-        (Defect::DoubledComplete, Kind::WorkComplete) => whole(kind, &data).repeat(2),
+        (Defect::DoubledComplete, Kind::WorkComplete) => encode(kind, &data).repeat(2),
         (Defect::WrongHandle, Kind::JobCreated) => {
             data.push(b'0');
-            whole(kind, &data)
+            encode(kind, &data)
         }
         (Defect::ShortData, Kind::JobAssign) => {
             data.pop();
-            whole(kind, &data)
+            encode(kind, &data)
         }
-        (Defect::ExceptionAsWarning, Kind::WorkException) => whole(Kind::WorkWarning, &data),
+        (Defect::ExceptionAsWarning, Kind::WorkException) => encode(Kind::WorkWarning, &data),
         (Defect::SwappedStatus, Kind::WorkStatus) => {
-            let parts: Vec<&[u8]> = data.split(|b| *b == 0).collect();
+            let parts: Vec<&[u8]> = data.split(|byte| *byte == 0).collect();
             match parts[..] {
-                [handle, a, b] => packet(Magic::Res, kind, &[handle, b, a]),
-                _ => whole(kind, &data),
+                [handle, numerator, denominator] => {
+                    packet(Magic::Res, kind, &[handle, denominator, numerator])
+                }
+                _ => encode(kind, &data),
             }
         }
         (_, kind) if kind.arguments().is_empty() => packet(Magic::Res, kind, &[]),
-        _ => whole(kind, &data),
+        _ => encode(kind, &data),
     }
 }
--- a/crates/gearman-conformance/src/main.rs
+++ b/crates/gearman-conformance/src/main.rs
@@ -1,7 +1,7 @@
-//! The command.
+//! The command `roselock-gearman-conformance`.
 
 use argh::FromArgs;
-use roselock_gearman_conformance::{Case, all, run};
+use roselock_gearman_conformance::{Case, Difference, all, run};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -25,42 +25,71 @@
     json: bool,
 }
 
+/// The exit status of invalid arguments.
+const INVALID_ARGUMENTS: u8 = 2;
+
+/// Why the arguments name no server to test.
+#[derive(Debug, thiserror::Error)]
+enum ServerError {
+    #[error("name the server with --at, or --list the cases")]
+    Missing,
+    #[error("--at {0}: only a server on this machine, at a loopback address")]
+    NotLoopback(SocketAddr),
+}
+
+impl Args {
+    /// Whether a case is to be listed or played.
+    fn selects(&self, case: &Case) -> bool {
+        let named = self.filter.as_ref().is_none_or(|filter| case.name.contains(filter.as_str()));
+        named && (self.list || case.only.is_none() || case.only == self.kind)
+    }
+
+    /// The server to test.
+    fn server(&self) -> Result<SocketAddr, ServerError> {
+        let server = self.at.ok_or(ServerError::Missing)?;
+        if !server.ip().is_loopback() {
+            return Err(ServerError::NotLoopback(server));
+        }
+        Ok(server)
+    }
+}
+
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let wanted = |case: &Case| {
-        args.filter.as_ref().is_none_or(|f| case.name.contains(f.as_str()))
-            && (args.list || case.only.is_none() || case.only == args.kind)
-    };
-    let cases: Vec<Case> = all().into_iter().filter(wanted).collect();
+    let cases: Vec<Case> = all().into_iter().filter(|case| args.selects(case)).collect();
     if args.list {
-        cases.iter().for_each(|c| println!("{:44} {:34} {}", c.name, c.section, c.why));
+        for case in &cases {
+            println!("{:44} {:34} {}", case.name, case.section, case.why);
+        }
         return ExitCode::SUCCESS;
     }
-    let Some(at) = args.at else {
-        eprintln!("name the server with --at, or --list the cases");
-        return ExitCode::from(2);
+    let server = match args.server() {
+        Ok(server) => server,
+        Err(error) => {
+            eprintln!("{error}");
+            return ExitCode::from(INVALID_ARGUMENTS);
+        }
     };
-    if !at.ip().is_loopback() {
-        eprintln!("--at {at}: only a server on this machine, at a loopback address");
-        return ExitCode::from(2);
-    }
-    let results = run(at, &cases, &std::process::id().to_string());
-    let mut differ = 0;
+    let results = run(server, &cases, &std::process::id().to_string());
     for (case, result) in &results {
-        differ += result.is_err() as usize;
-        let words = result.as_ref().err().map(ToString::to_string).unwrap_or_default();
-        let verdict = if result.is_ok() { "ok" } else { "differs" };
-        if args.json {
-            println!(
-                "{{\"case\":{:?},\"section\":{:?},\"verdict\":{verdict:?},\"first\":{words:?}}}",
-                case.name, case.section
-            );
-        } else {
-            println!("{:44} {:34} {verdict} {words}", case.name, case.section);
-        }
+        print_result(case, result.as_ref().err(), args.json);
     }
+    let differ = results.iter().filter(|(_, result)| result.is_err()).count();
     if !args.json {
         println!("{} cases, {differ} differ", results.len());
     }
     if differ == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
+
+fn print_result(case: &Case, difference: Option<&Difference>, json: bool) {
+    let first = difference.map(ToString::to_string).unwrap_or_default();
+    let verdict = if difference.is_none() { "ok" } else { "differs" };
+    if json {
+        println!(
+            "{{\"case\":{:?},\"section\":{:?},\"verdict\":{verdict:?},\"first\":{first:?}}}",
+            case.name, case.section
+        );
+    } else {
+        println!("{:44} {:34} {verdict} {first}", case.name, case.section);
+    }
+}
