--- a/crates/gearman-load/src/main.rs
+++ b/crates/gearman-load/src/main.rs
@@ -1,14 +1,18 @@
 //! Measures the Gearman front on loopback and prints tables in Markdown.
 
+mod clients;
 mod depth;
-mod peers;
 mod rate;
 mod relay;
 mod server;
 mod step;
+mod workers;
 
 use argh::FromArgs;
+use server::Program;
 use std::path::PathBuf;
+use std::process::ExitCode;
+use std::str::FromStr;
 
 /// Measures the Gearman front on loopback, beside a bare relay of the same packets in the same run.
 #[derive(FromArgs)]
@@ -47,28 +51,81 @@
 #[argh(subcommand, name = "relay")]
 struct Relay {}
 
-fn main() {
+/// A measurement that `--only` can name.
+#[derive(Clone, Copy)]
+enum Measurement {
+    Rate,
+    Burst,
+    Depth,
+    Flood,
+    Nagle,
+    Step,
+}
+
+/// The text names no measurement.
+#[derive(Debug, thiserror::Error)]
+#[error("--only {0:?}: one of rate, burst, depth, flood, nagle, step")]
+struct UnknownMeasurement(String);
+
+impl FromStr for Measurement {
+    type Err = UnknownMeasurement;
+
+    fn from_str(name: &str) -> Result<Measurement, UnknownMeasurement> {
+        match name {
+            "rate" => Ok(Measurement::Rate),
+            "burst" => Ok(Measurement::Burst),
+            "depth" => Ok(Measurement::Depth),
+            "flood" => Ok(Measurement::Flood),
+            "nagle" => Ok(Measurement::Nagle),
+            "step" => Ok(Measurement::Step),
+            other => Err(UnknownMeasurement(other.to_owned())),
+        }
+    }
+}
+
+impl Measurement {
+    /// Runs it and prints its table.
+    fn run(self, program: &Program, seconds: f64) {
+        match self {
+            Measurement::Rate => rate::rate(program, seconds),
+            Measurement::Burst => rate::burst(program),
+            Measurement::Depth => depth::depth(program),
+            Measurement::Flood => rate::flood(program),
+            Measurement::Nagle => rate::nagle(program),
+            Measurement::Step => step::step(),
+        }
+    }
+}
+
+/// The threads of the coroutines.
+const COROUTINE_THREADS: usize = 2;
+/// The stack of a coroutine, in words.
+const COROUTINE_STACK: usize = 16 * 1024;
+/// The exit status of invalid arguments.
+const INVALID_ARGUMENTS: u8 = 2;
+
+fn main() -> ExitCode {
     let args: Args = argh::from_env();
     match args.command {
         Command::Relay(_) => relay::run(),
-        Command::Run(run) => {
-            may::config().set_workers(2).set_stack_size(16 * 1024);
-            let with = server::Program { roselock: run.roselock, config: run.config };
-            println!("{}\n", server::machine());
-            for part in run.only.split(',') {
-                match part.trim() {
-                    "rate" => rate::rate(&with, run.seconds),
-                    "burst" => rate::burst(&with),
-                    "flood" => rate::flood(&with),
-                    "nagle" => rate::nagle(&with),
-                    "depth" => depth::depth(&with),
-                    "step" => step::step(),
-                    other => {
-                        eprintln!("--only {other:?}: one of rate, burst, depth, flood, nagle, step");
-                        std::process::exit(2);
-                    }
-                }
+        Command::Run(options) => match run(options) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                eprintln!("{error}");
+                ExitCode::from(INVALID_ARGUMENTS)
             }
-        }
+        },
+    }
+}
+
+/// Runs the measurements one after another, each as soon as its name has been read.
+fn run(options: Run) -> Result<(), UnknownMeasurement> {
+    may::config().set_workers(COROUTINE_THREADS).set_stack_size(COROUTINE_STACK);
+    let program = Program { roselock: options.roselock, config: options.config };
+    println!("{}\n", server::machine());
+    for name in options.only.split(',') {
+        let measurement: Measurement = name.trim().parse()?;
+        measurement.run(&program, options.seconds);
     }
+    Ok(())
 }
--- a/crates/gearman-load/src/rate.rs
+++ b/crates/gearman-load/src/rate.rs
@@ -1,12 +1,25 @@
-//! Jobs a second, bursts, and a flood beside a trickle.
+//! Throughput, bursts, a flood beside a trickle, and a worker with Nagle's algorithm.
 
-use crate::peers::{self, Seen};
+use crate::clients::{self, BurstResults, Results};
 use crate::server::{self, Program};
+use crate::workers;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+/// The longest wait for clients to finish.
+const END_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest wait for the end of a burst.
+const BURST_TIMEOUT: Duration = Duration::from_secs(120);
+/// Jobs of the trickle beside a flood, one every [`TRICKLE_INTERVAL`].
+const TRICKLE_JOBS: usize = 100;
+/// The interval between two jobs of the trickle.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(50);
+/// The latency objective of the trickle.
+const TRICKLE_OBJECTIVE: Duration = Duration::from_millis(260);
+
+/// One function without slow start, as TOML.
 const WARM: &str = r#"cold_s = 0.0
 [[gearman.function]]
 name = "f"
@@ -15,27 +28,33 @@
 target = "gearman"
 "#;
 
-fn pass(seconds: f64) {
+fn sleep(seconds: f64) {
     std::thread::sleep(Duration::from_secs_f64(seconds));
 }
 
-/// So many clients with one job open each for some seconds: jobs a second, and what they saw.
-fn measure(at: SocketAddr, n: usize, span: Duration, seconds: f64) -> (f64, Seen) {
-    peers::workers(at, n, &["f"], span);
+/// The throughput of a server.
+struct Throughput {
+    jobs_per_s: f64,
+    results: Results,
+}
+
+/// Measures a server with `count` workers and as many clients with one open job each.
+fn measure(server: SocketAddr, count: usize, duration: Duration, seconds: f64) -> Throughput {
+    workers::start(server, count, &["f"], duration);
     let stop = Arc::new(AtomicBool::new(false));
     let start = Instant::now();
-    let seen = peers::clients(at, n, 1, "f", &stop);
-    pass(seconds);
+    let results = clients::start(server, count, 1, "f", &stop);
+    sleep(seconds);
     stop.store(true, Ordering::SeqCst);
-    let rate = seen.served() as f64 / start.elapsed().as_secs_f64();
-    let ended = Instant::now();
-    while seen.ended.load(Ordering::SeqCst) < n as u64 && ended.elapsed() < Duration::from_secs(20) {
-        pass(0.002);
+    let jobs_per_s = results.served() as f64 / start.elapsed().as_secs_f64();
+    let stopped = Instant::now();
+    while results.ended.load(Ordering::SeqCst) < count as u64 && stopped.elapsed() < END_TIMEOUT {
+        sleep(0.002);
     }
-    (rate, seen)
+    Throughput { jobs_per_s, results }
 }
 
-/// Workers and clients by number, jobs by length, beside the relay.
+/// Throughput and latency by the number of workers and the duration of jobs, beside the relay.
 pub fn rate(program: &Program, seconds: f64) {
     println!("## Jobs a second\n");
     println!("As many clients as workers, one job open each, {seconds} s a cell; p50 and p99 in ms.\n");
@@ -44,28 +63,31 @@
     );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for ms in [0, 1, 20] {
-        for n in [1, 8, 64, 256] {
-            let span = Duration::from_millis(ms);
+        for count in [1, 8, 64, 256] {
+            let duration = Duration::from_millis(ms);
             let relay = server::relay();
-            let (bare, there) = measure(relay.at, n, span, seconds);
+            let through_relay = measure(relay.at, count, duration, seconds);
             drop(relay);
             let roselock = program.start(WARM);
-            let (rate, seen) = measure(roselock.at, n, span, seconds);
+            let through_roselock = measure(roselock.at, count, duration, seconds);
+            let (relayed, served) = (&through_relay.results, &through_roselock.results);
             println!(
-                "| {n} | {ms} | {bare:.0} | {:.2} | {:.2} | {rate:.0} | {:.2} | {:.2} | {:.2} | {} |",
-                there.ms(0.5),
-                there.ms(0.99),
-                seen.ms(0.5),
-                seen.ms(0.99),
-                rate / bare,
-                seen.failed.load(Ordering::SeqCst),
+                "| {count} | {ms} | {:.0} | {:.2} | {:.2} | {:.0} | {:.2} | {:.2} | {:.2} | {} |",
+                through_relay.jobs_per_s,
+                relayed.ms(0.5),
+                relayed.ms(0.99),
+                through_roselock.jobs_per_s,
+                served.ms(0.5),
+                served.ms(0.99),
+                through_roselock.jobs_per_s / through_relay.jobs_per_s,
+                served.failed.load(Ordering::SeqCst),
             );
         }
     }
     println!();
 }
 
-/// Many jobs at once, with two workers and the example's own settings.
+/// Bursts of jobs at two workers, with and without slow start.
 pub fn burst(program: &Program) {
     println!("## Many at once\n");
     println!(
@@ -73,28 +95,41 @@
     );
     println!("| jobs | as | workers | created | served | failed | left | time, s |");
     println!("| ---: | --- | --- | ---: | ---: | ---: | ---: | ---: |");
-    for (cold, words) in [("", "cold"), ("cold_s = 0.0\n", "warm")] {
-        for (n, background) in [(200, false), (200, true), (10_000, false), (10_000, true)] {
-            let file = WARM.replace("cold_s = 0.0\n", cold);
+    for (setting, state) in [("", "cold"), ("cold_s = 0.0\n", "warm")] {
+        for (count, background) in [(200, false), (200, true), (10_000, false), (10_000, true)] {
+            let file = WARM.replace("cold_s = 0.0\n", setting);
             let server = program.start(&file);
-            peers::workers(server.at, 2, &["f"], Duration::ZERO);
+            workers::start(server.at, 2, &["f"], Duration::ZERO);
             let start = Instant::now();
-            let (created, served, failed) = peers::at_once(server.at, n, background, "f");
-            let (mut left, _) = peers::status(server.at);
-            while left > 0 && start.elapsed() < Duration::from_secs(120) {
-                pass(0.01);
-                left = peers::status(server.at).0;
+            let BurstResults { created, served, failed } = clients::burst(server.at, count, background, "f");
+            let mut left = clients::status(server.at).jobs;
+            while left > 0 && start.elapsed() < BURST_TIMEOUT {
+                sleep(0.01);
+                left = clients::status(server.at).jobs;
             }
-            let (took, kind) =
-                (start.elapsed().as_secs_f64(), if background { "background" } else { "foreground" });
+            let seconds = start.elapsed().as_secs_f64();
+            let kind = if background { "background" } else { "foreground" };
             let served = if background { "-".to_owned() } else { served.to_string() };
-            println!("| {n} | {kind} | {words} | {created} | {served} | {failed} | {left} | {took:.2} |");
+            println!(
+                "| {count} | {kind} | {state} | {created} | {served} | {failed} | {left} | {seconds:.2} |"
+            );
         }
     }
     println!();
 }
 
-/// A flood of one function beside a trickle of another, at workers that take both.
+/// The configuration of the functions `flood` and `trickle`, as TOML.
+fn flood_functions(queue: bool) -> String {
+    let entry = |name, class| {
+        format!(
+            "[[gearman.function]]\nname = \"{name}\"\nclass = \"{class}\"\ndeadline_s = 30.0\n\
+             target = \"gearman\"\nqueue = {queue}\n"
+        )
+    };
+    format!("cold_s = 0.0\n{}{}", entry("flood", "account-view"), entry("trickle", "plan-payment"))
+}
+
+/// A flood of one function beside a trickle of another, at workers that serve both.
 pub fn flood(program: &Program) {
     println!("## A flood beside a trickle\n");
     println!(
@@ -104,24 +139,18 @@
     println!("| queue | flood, jobs/s | flood failed | trickle in time | trickle p50, ms | p99, ms |");
     println!("| --- | ---: | ---: | ---: | ---: | ---: |");
     for queue in [true, false] {
-        let entry = |name, class| {
-            format!(
-                "[[gearman.function]]\nname = \"{name}\"\nclass = \"{class}\"\ndeadline_s = 30.0\n\
-                 target = \"gearman\"\nqueue = {queue}\n"
-            )
-        };
-        let file =
-            format!("cold_s = 0.0\n{}{}", entry("flood", "account-view"), entry("trickle", "plan-payment"));
-        let server = program.start(&file);
-        peers::workers(server.at, 8, &["flood", "trickle"], Duration::from_millis(5));
+        let server = program.start(&flood_functions(queue));
+        workers::start(server.at, 8, &["flood", "trickle"], Duration::from_millis(5));
         let stop = Arc::new(AtomicBool::new(false));
-        let flood = peers::clients(server.at, 8, 50, "flood", &stop);
-        pass(1.0);
+        let flood = clients::start(server.at, 8, 50, "flood", &stop);
+        sleep(1.0);
         let start = Instant::now();
         let before = flood.served();
-        let trickle = peers::steady(server.at, Duration::from_millis(50), 100, "trickle");
-        while trickle.ended.load(Ordering::SeqCst) < 100 && start.elapsed() < Duration::from_secs(40) {
-            pass(0.01);
+        let trickle = clients::start_constant_rate(server.at, TRICKLE_INTERVAL, TRICKLE_JOBS, "trickle");
+        while trickle.ended.load(Ordering::SeqCst) < TRICKLE_JOBS as u64
+            && start.elapsed() < Duration::from_secs(40)
+        {
+            sleep(0.01);
         }
         let rate = (flood.served() - before) as f64 / start.elapsed().as_secs_f64();
         stop.store(true, Ordering::SeqCst);
@@ -129,7 +158,7 @@
             "| {} | {rate:.0} | {} | {:.2} | {:.1} | {:.1} |",
             if queue { "yes" } else { "no" },
             flood.failed.load(Ordering::SeqCst),
-            trickle.within(Duration::from_millis(260)),
+            trickle.within(TRICKLE_OBJECTIVE),
             trickle.ms(0.5),
             trickle.ms(0.99),
         );
@@ -137,7 +166,7 @@
     println!();
 }
 
-/// One job after another at a worker whose library leaves Nagle's algorithm on and writes its packets apart.
+/// One job after another at a worker whose library leaves Nagle's algorithm on and writes its packets separately.
 pub fn nagle(program: &Program) {
     println!("## A worker that holds its packets back\n");
     println!(
@@ -147,12 +176,13 @@
     println!("| --- | ---: | ---: |");
     for quick in [false, true] {
         let server = program.start(&format!("quick_ack = {quick}\n{WARM}"));
-        peers::apart(server.at, "f");
+        workers::start_unbuffered(server.at, "f");
         let stop = Arc::new(AtomicBool::new(false));
-        let seen = peers::clients(server.at, 1, 1, "f", &stop);
-        pass(3.0);
+        let results = clients::start(server.at, 1, 1, "f", &stop);
+        sleep(3.0);
         stop.store(true, Ordering::SeqCst);
-        println!("| {} | {:.2} | {:.2} |", if quick { "yes" } else { "no" }, seen.ms(0.5), seen.ms(0.99));
+        let setting = if quick { "yes" } else { "no" };
+        println!("| {setting} | {:.2} | {:.2} |", results.ms(0.5), results.ms(0.99));
     }
     println!();
 }
--- a/crates/gearman-load/src/step.rs
+++ b/crates/gearman-load/src/step.rs
@@ -1,10 +1,10 @@
-//! What a step of the decisions costs, without sockets.
+//! The processor time of a step of the decision module, without sockets.
 
 use roselock::*;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Steps with workers that are busy, and one that becomes free and gets the next job each time.
+/// Prints the mean time of a step in which one worker becomes free and receives the next job.
 pub fn step() {
     println!("## A step of the decisions\n");
     println!(
@@ -95,8 +95,10 @@
         arrive(&mut events);
     }
     let mut running: VecDeque<JobId> = VecDeque::new();
-    let (mut now, mut actions) = (0, Vec::new());
-    let (mut steps, mut spent) = (0, 0.0);
+    let mut now = 0;
+    let mut actions = Vec::new();
+    let mut steps = 0;
+    let mut spent = 0.0;
     for turn in 0..STEPS {
         now += STEP_INTERVAL;
         let start = Instant::now();
