--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -3,7 +3,7 @@
 //! waits for the owner thread at most [`CHANGE_TIMEOUT`].
 
 use super::connection_limiter::{ConnectionLimiter, ShedPriority, SheddableConnection};
-use super::http::by;
+use super::http::deadline_after;
 use super::socket::Socket;
 use crate::core::suspensions::{SetResult, Suspensions, UnsavedError};
 use crate::core::{Inbox, clock};
@@ -62,8 +62,8 @@
 
 fn serve(admin: &Admin, stream: TcpStream) {
     let socket = Socket::new(stream);
-    let sheddable = admin.connections.spare(ShedPriority::Unidentified, &socket);
-    let deadline = by(COMMAND_TIMEOUT);
+    let sheddable = admin.connections.mark_sheddable(ShedPriority::Unidentified, &socket);
+    let deadline = deadline_after(COMMAND_TIMEOUT);
     let mut connection =
         Some(Connection { admin, socket, lines: LineReader::default(), sheddable, deadline });
     while let Some(open) = connection {
@@ -80,12 +80,12 @@
                 ReadLine::TooLong => error_response(&CommandError::TooLong),
                 ReadLine::Incomplete => return Some(self),
             };
-            let written = self.socket.write(&[response.as_bytes()], by(WRITE_TIMEOUT));
+            let written = self.socket.write(&[response.as_bytes()], deadline_after(WRITE_TIMEOUT));
             if written.is_err() || !self.sheddable.reclaim() {
                 return None;
             }
-            self.sheddable = self.admin.connections.spare(ShedPriority::Idle, &self.socket);
-            self.deadline = by(IDLE_TIMEOUT);
+            self.sheddable = self.admin.connections.mark_sheddable(ShedPriority::Idle, &self.socket);
+            self.deadline = deadline_after(IDLE_TIMEOUT);
         }
     }
 
@@ -98,7 +98,7 @@
             Ok(read) => self.lines.push(&buffer[..read]),
         }
         if !is_mid_command {
-            self.deadline = self.deadline.min(by(COMMAND_TIMEOUT));
+            self.deadline = self.deadline.min(deadline_after(COMMAND_TIMEOUT));
         }
         Some(self)
     }
@@ -181,7 +181,7 @@
         SetResult::Changed(sequence) => sequence,
         SetResult::Unchanged => 0,
     };
-    let deadline = by(CHANGE_TIMEOUT);
+    let deadline = deadline_after(CHANGE_TIMEOUT);
     let mut saved = admin.suspensions.saved();
     while (admin.suspensions.applied() < sequence || saved.is_err()) && clock::now() < deadline {
         may::coroutine::sleep(CHANGE_POLL_INTERVAL);
--- a/dispatcher/src/wire/connection_limiter.rs
+++ b/dispatcher/src/wire/connection_limiter.rs
@@ -67,7 +67,7 @@
     }
 
     /// Marks a connection as sheddable until the result is dropped.
-    pub fn spare(
+    pub fn mark_sheddable(
         self: &Arc<ConnectionLimiter>,
         priority: ShedPriority,
         socket: &Socket,
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -4,7 +4,7 @@
 mod stream;
 mod watch_error;
 
-use super::http::by;
+use super::http::deadline_after;
 use super::list::{EndpointList, listed_hosts};
 use super::list_history::ListHistory;
 use crate::core::{FleetId, Inbox, Input, ListedHost, clock};
@@ -140,7 +140,7 @@
         self.history = ListHistory::default();
         let position = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
         let spread = (self.resync_after as f64 * position) as Micros;
-        self.resync_at = Some(by(self.resync_after + spread));
+        self.resync_at = Some(deadline_after(self.resync_after + spread));
     }
 
     /// One watch, from the connection to its end.
--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -4,7 +4,7 @@
 use super::watch_error::WatchError;
 use super::{DiscoveryWatcher, MAX_LIST_BYTES};
 use crate::core::{Input, clock};
-use crate::wire::http::{HttpError, Reader, by};
+use crate::wire::http::{HttpError, Reader, deadline_after};
 use crate::wire::list::{EndpointList, listed_hosts};
 use crate::wire::list_parser::{ListParser, MalformedList};
 use crate::wire::socket::{ConnectError, LocalRetry, Socket};
@@ -42,7 +42,7 @@
 
     /// Opens a connection, which a move closes. Where this machine is short of something for it, it tries again.
     fn connect(&mut self, location: Location) -> Result<Socket, WatchError> {
-        let deadline = by(CONNECT_TIMEOUT);
+        let deadline = deadline_after(CONNECT_TIMEOUT);
         let mut retry = LocalRetry::default();
         let socket = loop {
             match Socket::connect(location.address, deadline) {
@@ -70,7 +70,7 @@
         reader: &mut Reader,
     ) -> Result<bool, WatchError> {
         send_request(address, "", socket)?;
-        let response = reader.read_response(by(RESPONSE_TIMEOUT))?;
+        let response = reader.read_response(deadline_after(RESPONSE_TIMEOUT))?;
         if response.status != 200 {
             return Err(WatchError::Status(response.status));
         }
@@ -85,7 +85,7 @@
     fn read_events(&mut self, reader: &mut Reader) -> Result<Infallible, WatchError> {
         let mut parser = ListParser::default();
         let mut empty_list_retry_at = None;
-        let mut silent_at = by(WATCH_TIMEOUT);
+        let mut silent_at = deadline_after(WATCH_TIMEOUT);
         loop {
             empty_list_retry_at = self.empty_list_retry_at(empty_list_retry_at);
             let due = [empty_list_retry_at, self.resync_at].into_iter().flatten();
@@ -106,7 +106,7 @@
             let is_drained = parser.buffered() == 0;
             // A list that trickles in gets no more time than silence: it says as little.
             if found_any || !continues_list || is_drained {
-                silent_at = by(WATCH_TIMEOUT);
+                silent_at = deadline_after(WATCH_TIMEOUT);
             }
             if is_drained {
                 self.note_event();
@@ -123,7 +123,7 @@
             return None;
         }
         let doublings = self.consecutive_empty_lists.min(MAX_EMPTY_LIST_DOUBLINGS);
-        Some(planned.unwrap_or_else(|| by(EMPTY_LIST_RETRY << doublings)))
+        Some(planned.unwrap_or_else(|| deadline_after(EMPTY_LIST_RETRY << doublings)))
     }
 
     /// Applies the lists that have been received; whether there was any, malformed ones included.
@@ -189,7 +189,7 @@
     reader: &mut Reader,
 ) -> Result<(), WatchError> {
     send_request(address, &format!("?watch=1&after={revision}"), socket)?;
-    let head = reader.read_stream_head(by(RESPONSE_TIMEOUT))?;
+    let head = reader.read_stream_head(deadline_after(RESPONSE_TIMEOUT))?;
     if head.status != 200 {
         return Err(WatchError::Status(head.status));
     }
@@ -198,5 +198,5 @@
 
 fn send_request(address: SocketAddr, query: &str, socket: &Socket) -> Result<(), WatchError> {
     let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-    socket.write(&[request.as_bytes()], by(CONNECT_TIMEOUT)).map_err(WatchError::Send)
+    socket.write(&[request.as_bytes()], deadline_after(CONNECT_TIMEOUT)).map_err(WatchError::Send)
 }
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -10,7 +10,7 @@
 use crate::wire::connection_limiter::{
     FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
 };
-use crate::wire::http::{HttpError, Reader, by};
+use crate::wire::http::{HttpError, Reader, deadline_after};
 use crate::wire::socket::Socket;
 use may::net::TcpStream;
 use roselock::{Micros, SECOND};
@@ -82,8 +82,8 @@
             writer: None,
             pending: None,
             read_ahead_memory: None,
-            unidentified: Some(front.connections.spare(ShedPriority::Unidentified, &socket)),
-            first_request_deadline: Some(by(FIRST_REQUEST_TIMEOUT)),
+            unidentified: Some(front.connections.mark_sheddable(ShedPriority::Unidentified, &socket)),
+            first_request_deadline: Some(deadline_after(FIRST_REQUEST_TIMEOUT)),
             socket,
         }
     }
@@ -112,11 +112,11 @@
     /// Waits for the first bytes of a request; none if the connection was shed meanwhile.
     fn wait_for_request(&mut self) -> Option<Result<bool, HttpError>> {
         if self.unidentified.is_some() {
-            let deadline = self.first_request_deadline.unwrap_or_else(|| by(IDLE_TIMEOUT));
+            let deadline = self.first_request_deadline.unwrap_or_else(|| deadline_after(IDLE_TIMEOUT));
             return Some(self.reader.fill(deadline));
         }
-        let sheddable = self.front.connections.spare(ShedPriority::Idle, &self.socket);
-        let filled = self.reader.fill(by(IDLE_TIMEOUT));
+        let sheddable = self.front.connections.mark_sheddable(ShedPriority::Idle, &self.socket);
+        let filled = self.reader.fill(deadline_after(IDLE_TIMEOUT));
         sheddable.reclaim().then_some(filled)
     }
 
@@ -125,7 +125,7 @@
         let unparsed = self.reader.unparsed().len();
         self.note_pipelined_bytes(unparsed > 0);
         if unparsed == 0 {
-            let filled = self.reader.fill(by(IDLE_TIMEOUT));
+            let filled = self.reader.fill(deadline_after(IDLE_TIMEOUT));
             self.note_pipelined_bytes(!self.reader.is_empty());
             return filled;
         }
@@ -136,7 +136,7 @@
         if unparsed >= max_unparsed {
             self.reader.seal();
         }
-        self.reader.fill(by(ANSWER_POLL_INTERVAL))
+        self.reader.fill(deadline_after(ANSWER_POLL_INTERVAL))
     }
 
     fn note_pipelined_bytes(&self, has_pipelined_bytes: bool) {
@@ -173,7 +173,7 @@
         let deadline = match (self.first_request_deadline, self.reader.first_byte_at()) {
             (Some(deadline), _) => deadline,
             (None, Some(began)) => began + REQUEST_READ_TIMEOUT,
-            (None, None) => by(REQUEST_READ_TIMEOUT),
+            (None, None) => deadline_after(REQUEST_READ_TIMEOUT),
         };
         let head = self.reader.read_request_head(deadline);
         let request = head.and_then(|head| {
@@ -190,11 +190,13 @@
 
     /// Lets the last response arrive: closing with unread bytes would reset the connection before that.
     fn close(&mut self) {
-        let _sheddable = self.front.connections.spare(ShedPriority::Closing, &self.socket);
+        let _sheddable = self.front.connections.mark_sheddable(ShedPriority::Closing, &self.socket);
         self.socket.shut_down_writes();
-        let deadline = by(MAX_CLOSING_TIME);
+        let deadline = deadline_after(MAX_CLOSING_TIME);
         let mut left = MAX_CLOSING_BYTES;
-        while left > 0 && self.reader.discard_and_fill(by(CLOSING_TIMEOUT).min(deadline)) == Ok(true) {
+        while left > 0
+            && self.reader.discard_and_fill(deadline_after(CLOSING_TIMEOUT).min(deadline)) == Ok(true)
+        {
             left = left.saturating_sub(self.reader.unparsed().len());
         }
     }
--- a/dispatcher/src/wire/front/connection/local_reply.rs
+++ b/dispatcher/src/wire/front/connection/local_reply.rs
@@ -1,7 +1,7 @@
 //! Local replies: responses that this process makes itself.
 
 use super::{Connection, NextStep};
-use crate::wire::http::{HttpError, Response, by, write_response};
+use crate::wire::http::{HttpError, Response, deadline_after, write_response};
 use roselock::{Micros, SECOND};
 
 /// How long writing a local reply may take, in microseconds.
@@ -42,7 +42,7 @@
         let is_shutting_down = self.front.inbox.is_closing_connections() && self.reader.is_empty();
         let close = close_requested || is_invalid_first || is_shutting_down;
         let response = Response { status, headers, body: body.as_bytes(), close };
-        let written = write_response(&self.socket, &response, by(WRITE_TIMEOUT));
+        let written = write_response(&self.socket, &response, deadline_after(WRITE_TIMEOUT));
         if close || written.is_err() {
             return NextStep::Close;
         }
@@ -66,7 +66,7 @@
         };
         self.log_rejected(status, error);
         let response = Response { status, headers: retry_after(status), close: true, ..Response::default() };
-        match write_response(&self.socket, &response, by(WRITE_TIMEOUT)) {
+        match write_response(&self.socket, &response, deadline_after(WRITE_TIMEOUT)) {
             Ok(()) => NextStep::Close,
             Err(_) => NextStep::End,
         }
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -4,7 +4,7 @@
 use super::reservations::InFlightStream;
 use crate::core::{Answer, Downstream, Inbox};
 use crate::wire::connection_limiter::{ShedPriority, SheddableConnection};
-use crate::wire::http::{Response, by, write_response};
+use crate::wire::http::{Response, deadline_after, write_response};
 use crate::wire::socket::Socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use parking_lot::{Mutex, MutexGuard};
@@ -120,7 +120,7 @@
     // A request that has been read is owed an answer: its connection must not be shed.
     let is_needed = result == WriteResult::KeptOpen && exchange.has_pipelined_bytes;
     let priority = if must_close { ShedPriority::Closing } else { ShedPriority::Idle };
-    let sheddable = (!is_needed).then(|| front.connections.spare(priority, socket));
+    let sheddable = (!is_needed).then(|| front.connections.mark_sheddable(priority, socket));
     *exchange = Exchange { sheddable, ..Exchange::default() };
     result
 }
@@ -134,7 +134,7 @@
 }
 
 fn write_answer(socket: &Socket, answer: &Answer, close: bool) -> io::Result<()> {
-    let deadline = by(WRITE_TIMEOUT);
+    let deadline = deadline_after(WRITE_TIMEOUT);
     let respond = |status, headers: &str, body: &[u8]| {
         write_response(socket, &Response { status, headers, body, close }, deadline)
     };
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -8,7 +8,7 @@
 use crate::wire::connection_limiter::{
     FIRST_REQUEST_TIMEOUT, REQUEST_READ_TIMEOUT, ShedPriority, SheddableConnection,
 };
-use crate::wire::http::by;
+use crate::wire::http::deadline_after;
 use crate::wire::socket::Socket;
 use may::net::{TcpListener, TcpStream};
 use may::sync::mpsc::channel;
@@ -92,8 +92,8 @@
             socket,
             decoder: Decoder::new(Magic::Req, limits),
             packets: PacketHandler::new(front, peer),
-            first_packet_by: by(FIRST_REQUEST_TIMEOUT),
-            unidentified: Some(front.connections.spare(ShedPriority::Unidentified, socket)),
+            first_packet_by: deadline_after(FIRST_REQUEST_TIMEOUT),
+            unidentified: Some(front.connections.mark_sheddable(ShedPriority::Unidentified, socket)),
             packet_complete_by: 0,
         }
     }
@@ -107,7 +107,7 @@
                 ControlFlow::Break(()) => return,
             };
             if !self.decoder.is_inside() {
-                self.packet_complete_by = by(REQUEST_READ_TIMEOUT);
+                self.packet_complete_by = deadline_after(REQUEST_READ_TIMEOUT);
             }
             self.decoder.feed(&buffer[..received]);
             if self.handle_frames().is_break() {
@@ -122,7 +122,7 @@
         let is_inside = self.decoder.is_inside();
         let is_identified = self.unidentified.is_none();
         let is_idle = is_identified && !has_jobs && !is_inside;
-        let idle = is_idle.then(|| self.front.connections.spare(ShedPriority::Idle, self.socket));
+        let idle = is_idle.then(|| self.front.connections.mark_sheddable(ShedPriority::Idle, self.socket));
         let until = self.read_deadline();
         if self.front.settings.quick_ack && self.peer.is_worker.load(Ordering::Relaxed) && !is_inside {
             // Its library may hold its next packet back until this one is acknowledged.
@@ -157,7 +157,7 @@
         } else if self.decoder.is_inside() {
             self.packet_complete_by
         } else {
-            by(IDLE_TIMEOUT)
+            deadline_after(IDLE_TIMEOUT)
         }
     }
 
@@ -169,7 +169,7 @@
                 Ok(None) => return ControlFlow::Continue(()),
                 Err(_) => {
                     let message = error_reply("BAD_PACKET", "not a packet, or a line without an end");
-                    let _ = self.socket.write(&[&message], by(WRITE_TIMEOUT));
+                    let _ = self.socket.write(&[&message], deadline_after(WRITE_TIMEOUT));
                     return ControlFlow::Break(());
                 }
             };
@@ -182,7 +182,7 @@
             {
                 return ControlFlow::Break(());
             }
-            self.packet_complete_by = by(REQUEST_READ_TIMEOUT);
+            self.packet_complete_by = deadline_after(REQUEST_READ_TIMEOUT);
             self.packets.handle_frame(frame);
             // Nothing is read from a peer that does not read what it asked for.
             while self.peer.outbox.is_high() {
@@ -193,7 +193,7 @@
 
     /// A large packet has more time, and is dropped if its job would not fit into memory.
     fn begin_large_packet(&mut self, kind: Kind, size: usize) {
-        self.packet_complete_by = by(REQUEST_READ_TIMEOUT + size as Micros * SECOND / MIN_RATE);
+        self.packet_complete_by = deadline_after(REQUEST_READ_TIMEOUT + size as Micros * SECOND / MIN_RATE);
         if submission::is_submission(kind) && !submission::has_capacity_for(self.front, size) {
             self.decoder.skip();
         }
--- a/dispatcher/src/wire/gearman/outbox.rs
+++ b/dispatcher/src/wire/gearman/outbox.rs
@@ -4,7 +4,7 @@
 use super::worker_jobs::report_never_ran;
 use super::{Gearman, WRITE_TIMEOUT};
 use crate::core::{Payload, UpstreamId, UpstreamRequest};
-use crate::wire::http::by;
+use crate::wire::http::deadline_after;
 use crate::wire::socket::Socket;
 use may::sync::mpsc::{Receiver, Sender};
 use std::sync::Arc;
@@ -195,7 +195,10 @@
     fn write(&mut self, batch: &mut Vec<OutgoingPacket>) {
         let parts: Vec<&[u8]> =
             batch.iter().flat_map(|packet| [&packet.head[..], packet.body.bytes()]).collect();
-        if self.is_open && !parts.is_empty() && self.socket.write(&parts, by(WRITE_TIMEOUT)).is_err() {
+        if self.is_open
+            && !parts.is_empty()
+            && self.socket.write(&parts, deadline_after(WRITE_TIMEOUT)).is_err()
+        {
             self.is_open = false;
             self.socket.close();
         }
--- a/dispatcher/src/wire/http.rs
+++ b/dispatcher/src/wire/http.rs
@@ -25,6 +25,6 @@
 const MAX_HEAD: usize = 8 * 1024;
 
 /// The deadline that lies this far ahead, in microseconds.
-pub fn by(span: Micros) -> Micros {
+pub fn deadline_after(span: Micros) -> Micros {
     clock::now() + span
 }
--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -5,7 +5,7 @@
 use super::request::write_request;
 use super::response::response_event;
 use crate::core::{ConnectionState, Input, RequestKind, UpstreamEvent, UpstreamRequest, clock};
-use crate::wire::http::{HttpError, Reader, by};
+use crate::wire::http::{HttpError, Reader, deadline_after};
 use crate::wire::socket::{ConnectError, LocalRetry, Socket};
 use may::sync::mpsc::Receiver;
 use roselock::{LoadReport, Micros, Outcome};
@@ -181,7 +181,7 @@
 
 /// Waits for a new connection to be rejected.
 fn preconnect(open: &mut OpenConnection) -> Exchanged {
-    match open.reader.read_response(by(IMMEDIATE_CLOSE)) {
+    match open.reader.read_response(deadline_after(IMMEDIATE_CLOSE)) {
         Err(HttpError::TimedOut) => {
             Exchanged { event: UpstreamEvent::Ignored, connection: ConnectionState::Free }
         }
