--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -168,7 +168,8 @@
                     return Err(OpenError::Failed);
                 }
                 Err(ConnectError::Local(error)) => {
-                    tracing::debug!(endpoint = %self.endpoint, reason = %error, "local shortage, connecting later");
+                    let endpoint = self.endpoint;
+                    tracing::debug!(%endpoint, reason = %error, "local shortage, connecting later");
                     if !retry.wait(give_up_at) {
                         return Err(OpenError::LocalShortage);
                     }
