--- a/crates/rig/src/cli/play.rs
+++ b/crates/rig/src/cli/play.rs
@@ -1,4 +1,4 @@
-//! `roselock-rig run`: plays scenarios and judges them.
+//! `roselock-rig run`: plays scenarios and checks the rules.
 
 use super::{CliError, Verdict};
 use argh::FromArgs;
@@ -58,7 +58,7 @@
     is_judged: bool,
 }
 
-/// Plays the scenarios on all seeds, and shows what came of each run.
+/// Plays the scenarios on all seeds, and shows the figures of each run.
 ///
 /// # Errors
 ///
--- a/crates/rig/src/dispatcher_process.rs
+++ b/crates/rig/src/dispatcher_process.rs
@@ -77,7 +77,7 @@
     source: io::Error,
 }
 
-/// A dispatcher could not be told that its list service has moved.
+/// A dispatcher could not be notified that its list service has moved.
 #[derive(Debug, Error)]
 pub enum MoveError {
     /// Its configuration could not be changed.
@@ -88,7 +88,7 @@
         /// Why not.
         source: io::Error,
     },
-    /// It could not be told to reload.
+    /// The signal to reload could not be sent.
     #[error(transparent)]
     Reload(#[from] ProcessError),
 }
@@ -109,7 +109,7 @@
         Ok(DispatcherProcess { process, spec: spec.clone() })
     }
 
-    /// Writes the list service's other address into its configuration, and tells it to reload.
+    /// Writes the list service's other address into its configuration, and makes it reload.
     ///
     /// # Errors
     ///
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,4 +1,4 @@
-//! `roselock-rig`: plays scenarios with many dispatchers and judges them.
+//! `roselock-rig`: plays scenarios with many dispatchers, and checks the rules.
 
 mod cli;
 
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -152,7 +152,7 @@
         self.request_ends.get(end.key()).copied().unwrap_or(0)
     }
 
-    /// The expectations of the scenario that the figures do not meet, in words.
+    /// The expectations of the scenario that the figures do not meet, as texts.
     fn unmet_expectations(&self, expect: &Expect) -> Vec<String> {
         let mut unmet = Vec::new();
         let mut check = |met: bool, figure: String| {
--- a/crates/rig/src/scale/figure.rs
+++ b/crates/rig/src/scale/figure.rs
@@ -15,7 +15,7 @@
     ChangeProcessor,
     /// Resident memory at rest in KiB; the largest dispatcher.
     ResidentAtRest,
-    /// Its peak over the whole life of the process in KiB; the largest dispatcher.
+    /// Its peak since the start of the process in KiB; the largest dispatcher.
     ResidentPeak,
     /// Open descriptors at rest; the most.
     DescriptorsAtRest,
--- a/crates/rig/src/scale/interval.rs
+++ b/crates/rig/src/scale/interval.rs
@@ -21,7 +21,7 @@
 
     /// Processor time of a dispatcher in microseconds, the mean.
     pub fn processor_us(&self) -> f64 {
-        let sum = |sample: &Sample| sample.usage.iter().map(|u| u.processor_ns).sum::<u64>();
+        let sum = |sample: &Sample| sample.usage.iter().map(|usage| usage.processor_ns).sum::<u64>();
         let all = sum(&self.to).saturating_sub(sum(&self.from)) as f64 / 1e3;
         all / self.dispatchers()
     }
@@ -33,7 +33,7 @@
 
     /// Bytes that the list service wrote to a dispatcher, the mean.
     pub fn list_bytes(&self) -> f64 {
-        let sum = |sample: &Sample| sample.registry.iter().map(|t| t.written).sum::<u64>();
+        let sum = |sample: &Sample| sample.registry.iter().map(|traffic| traffic.written).sum::<u64>();
         (sum(&self.to) - sum(&self.from)) as f64 / self.dispatchers()
     }
 
--- a/crates/rig/src/scale/registry.rs
+++ b/crates/rig/src/scale/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{CHUNKED_HEAD, Connection, chunk, response};
 use crate::list::{EndpointList, ListEntry, WatchEvent};
-use crate::list_service::{KEEP_ALIVE, WATCH_CHECK_INTERVAL, asks_for_watch, revision_after};
+use crate::list_service::{KEEP_ALIVE, WATCH_CHECK_INTERVAL, is_watch_request, revision_after};
 use crate::time::Clock;
 use crate::traffic::{Traffic, TrafficCount};
 use may::net::TcpListener;
@@ -163,7 +163,7 @@
     fn serve_connection(&self, dispatcher: usize, mut connection: Connection, moved: bool) -> io::Result<()> {
         let subscriber = &self.subscribers[dispatcher];
         while let Some(request) = connection.read()? {
-            if asks_for_watch(&request) {
+            if is_watch_request(&request) {
                 subscriber.has_moved.fetch_or(moved, Ordering::SeqCst);
                 return self.watch(subscriber, connection, revision_after(&request));
             }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -41,12 +41,12 @@
     /// The value of a figure, if it was measured.
     #[must_use]
     pub fn value(&self, figure: Figure) -> Option<f64> {
-        self.measured(figure).map(|m| m.value)
+        self.measured(figure).map(|measured| measured.value)
     }
 
     fn measured(&self, figure: Figure) -> Option<&Measured> {
         let Outcome::Measured { figures, .. } = &self.outcome else { return None };
-        figures.iter().find(|m| m.figure == figure)
+        figures.iter().find(|measured| measured.figure == figure)
     }
 
     /// The row of several repetitions of one size: medians, and the requests of all. A rejected repetition is the row.
@@ -57,7 +57,8 @@
         }
         let first = repetitions.first()?;
         let values = |figure| repetitions.iter().filter_map(|row| row.value(figure)).collect();
-        let figures = Figure::ALL.into_iter().filter_map(|f| Measured::of(f, values(f))).collect();
+        let figures =
+            Figure::ALL.into_iter().filter_map(|figure| Measured::of(figure, values(figure))).collect();
         let mut all_requests = RequestCount::default();
         let mut all_faults = Vec::new();
         for row in &repetitions {
@@ -159,7 +160,7 @@
 /// The most by which repetitions of one size differ, as a share of the mean.
 fn spread(rows: &[Row], figure: Figure) -> f64 {
     let values: Vec<&Measured> = rows.iter().filter_map(|row| row.measured(figure)).collect();
-    let mean = values.iter().map(|m| m.value.abs()).sum::<f64>() / values.len().max(1) as f64;
-    let most = values.iter().map(|m| m.most - m.least).fold(0.0, f64::max);
+    let mean = values.iter().map(|measured| measured.value.abs()).sum::<f64>() / values.len().max(1) as f64;
+    let most = values.iter().map(|measured| measured.most - measured.least).fold(0.0, f64::max);
     if mean > 0.0 { most / mean } else { 0.0 }
 }
--- a/crates/rig/src/scale/start.rs
+++ b/crates/rig/src/scale/start.rs
@@ -69,7 +69,7 @@
     dispatchers.iter().map(sent).max().unwrap_or(0)
 }
 
-/// Who did not accept the list, how often it was sent there, and the last line about it in the log of one of them.
+/// How many dispatchers did not accept the list, how often it was sent there, and the last line about it in the log of one of them.
 fn rejection(environment: &mut TrialEnvironment, without: &[usize]) -> String {
     let bytes = environment.registry.list_bytes();
     let sent = most_lists_sent(environment, without);
--- a/crates/rig/src/scale/table.rs
+++ b/crates/rig/src/scale/table.rs
@@ -65,7 +65,8 @@
     );
     for Law { figure, line, verdict, spread } in laws {
         let residual = format!("{:.1} at {:.0}", line.largest_residual * 100.0, line.residual_at);
-        let (slope, constant) = (shown(line.slope), shown(line.constant));
+        let slope = shown(line.slope);
+        let constant = shown(line.constant);
         let spread = format!("{:.1}", spread * 100.0);
         let cells = [figure.label(), &slope, &constant, &residual, &spread, verdict.label()];
         let _ = writeln!(text, "| {} |", cells.join(" | "));
--- a/crates/rig/src/scale/trial.rs
+++ b/crates/rig/src/scale/trial.rs
@@ -101,24 +101,26 @@
 }
 
 fn memory_and_descriptors(trial: &Trial) -> Vec<Measured> {
-    let (rest, requests) = (&trial.rest.to, &trial.requests.to);
+    let rest = &trial.rest.to;
+    let requests = &trial.requests.to;
     vec![
-        Measured::once(Figure::ResidentAtRest, most(rest, |u| u.resident_kib)),
-        Measured::once(Figure::ResidentPeak, most(&trial.last, |u| u.resident_peak_kib)),
-        Measured::once(Figure::DescriptorsAtRest, most(rest, |u| u.descriptors)),
-        Measured::once(Figure::DescriptorsPeak, most(requests, |u| u.descriptors)),
+        Measured::once(Figure::ResidentAtRest, most(rest, |usage| usage.resident_kib)),
+        Measured::once(Figure::ResidentPeak, most(&trial.last, |usage| usage.resident_peak_kib)),
+        Measured::once(Figure::DescriptorsAtRest, most(rest, |usage| usage.descriptors)),
+        Measured::once(Figure::DescriptorsPeak, most(requests, |usage| usage.descriptors)),
     ]
 }
 
 fn bytes(trial: &Trial, environment: &TrialEnvironment) -> Vec<Measured> {
     let first = environment.first_lists();
     let each = |sum: u64| sum as f64 / first.len().max(1) as f64;
-    let (worker, callback) = (trial.requests.worker_requests(), trial.requests.callbacks());
+    let worker = trial.requests.worker_requests();
+    let callback = trial.requests.callbacks();
     let by_request = |total: u64| trial.requests.by_request(total);
     let change = trial.changes.interval.list_bytes() / trial.changes.count as f64;
     vec![
-        Measured::once(Figure::FirstListBytes, each(first.iter().map(|t| t.written).sum())),
-        Measured::once(Figure::CallBytes, each(first.iter().map(|t| t.read).sum())),
+        Measured::once(Figure::FirstListBytes, each(first.iter().map(|traffic| traffic.written).sum())),
+        Measured::once(Figure::CallBytes, each(first.iter().map(|traffic| traffic.read).sum())),
         Measured::once(Figure::ChangeBytes, change),
         Measured::once(Figure::RestBytesPerSecond, trial.rest.list_bytes() / trial.rest.seconds()),
         Measured::once(Figure::WorkerReadBytes, by_request(worker.read + callback.read)),
--- a/crates/rig/src/scale/trial_environment.rs
+++ b/crates/rig/src/scale/trial_environment.rs
@@ -74,7 +74,7 @@
         /// Why not.
         source: io::Error,
     },
-    /// A dispatcher could not be told that its list service has moved.
+    /// A dispatcher could not be notified that its list service has moved.
     #[error(transparent)]
     Move(#[from] MoveError),
 }
--- a/crates/rig/src/time.rs
+++ b/crates/rig/src/time.rs
@@ -5,7 +5,7 @@
 /// A point in time since the rig started, or a span, in microseconds.
 pub type Micros = i64;
 
-/// One second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
 /// The clock of a run.
@@ -13,15 +13,17 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts at 0.
+    /// A clock that starts at 0 now.
+    #[must_use]
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
-    /// Now.
+    /// The time since its start, in microseconds.
+    #[must_use]
     pub fn now(&self) -> Micros {
         self.0.elapsed().as_micros() as Micros
     }
-    /// Waits until then, in a coroutine.
+    /// Lets a coroutine wait until a time of this clock.
     pub fn sleep_until(&self, at: Micros) {
         let left = at - self.now();
         if left > 0 {
--- a/crates/rig/src/traffic.rs
+++ b/crates/rig/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes that pass over connections of a stand-in, counted as the application reads and writes them.
+//! The traffic on connections of a stand-in, counted as the stand-in reads and writes it.
 
 use serde::{Deserialize, Serialize};
 use std::ops::Sub;
@@ -13,7 +13,7 @@
     messages: AtomicU64,
 }
 
-/// What was counted up to a moment, or between two.
+/// Counts up to a moment, or between two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficCount {
     /// Bytes that the stand-in read.
@@ -22,12 +22,12 @@
     pub written: u64,
     /// Connections that it accepted or opened.
     pub connections: u64,
-    /// Whole messages that it read.
+    /// Complete messages that it read.
     pub messages: u64,
 }
 
 impl Traffic {
-    /// Counts a connection that came up.
+    /// Counts a connection that was established.
     pub fn count_connection(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
@@ -39,11 +39,12 @@
     pub fn count_written(&self, bytes: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
     }
-    /// Counts a message that was read whole.
+    /// Counts a complete message that was read.
     pub fn count_message(&self) {
         self.messages.fetch_add(1, Ordering::Relaxed);
     }
     /// The counts as of now.
+    #[must_use]
     pub fn count(&self) -> TrafficCount {
         TrafficCount {
             read: self.read.load(Ordering::Relaxed),
--- a/crates/rig/src/worker_service.rs
+++ b/crates/rig/src/worker_service.rs
@@ -7,7 +7,7 @@
 use crate::links::{Fault, Participant};
 use crate::test_environment::TestEnvironment;
 use crate::time::{Micros, SECOND};
-use crate::worker::Worker;
+use crate::worker::{Worker, WorkerLoad};
 use may::net::TcpListener;
 use std::io;
 use std::sync::Arc;
@@ -130,7 +130,7 @@
         return Ok(());
     }
     let load = worker.load(profile.slots);
-    let (free_slots, queue_length) = (load.free_slots, load.queue_length);
+    let WorkerLoad { free_slots, queue_length } = load;
     let report = format!("X-Rejected: 1\r\nX-Load-Report: TEXT x0={free_slots}, queue={queue_length}\r\n");
     connection.write(&response(503, &report, ""))
 }
@@ -190,7 +190,7 @@
         environment.record(Observation::JobFinished(self.worker, self.id.clone()));
         start_next(environment, self.worker);
         let load = environment.workers[self.worker].load(profile.slots);
-        let (free_slots, queue_length) = (load.free_slots, load.queue_length);
+        let WorkerLoad { free_slots, queue_length } = load;
         let id = &self.id;
         self.report(
             environment,
