--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -18,6 +18,7 @@
 pub mod table;
 pub mod trial;
 pub mod trial_environment;
+pub mod trial_error;
 pub mod usage;
 
 use crate::files::{self, FileError};
@@ -25,7 +26,7 @@
 use plan::Plan;
 use report::{Report, Row};
 use thiserror::Error;
-use trial_environment::TrialError;
+use trial_error::TrialError;
 
 /// Stack of a coroutine, in words.
 const STACK_WORDS: usize = 4 * 1024;
--- a/crates/rig/src/scale/start.rs
+++ b/crates/rig/src/scale/start.rs
@@ -2,7 +2,8 @@
 
 use crate::scale::admin::Metrics;
 use crate::scale::figure::{Figure, Measured};
-use crate::scale::trial_environment::{TrialEnvironment, TrialError};
+use crate::scale::trial_environment::TrialEnvironment;
+use crate::scale::trial_error::TrialError;
 use crate::time::{Micros, SECOND};
 use thiserror::Error;
 
--- a/crates/rig/src/scale/trial.rs
+++ b/crates/rig/src/scale/trial.rs
@@ -7,7 +7,8 @@
 use crate::scale::plan::Plan;
 use crate::scale::report::{Outcome, Row};
 use crate::scale::start::{ListError, confirmed, move_list_service, restart};
-use crate::scale::trial_environment::{Sample, TrialEnvironment, TrialError};
+use crate::scale::trial_environment::{Sample, TrialEnvironment};
+use crate::scale::trial_error::TrialError;
 use crate::time::{Micros, SECOND};
 
 /// Pause after the start and after the changes, until their work is done, in microseconds.
