--- a/crates/rig/src/scale/start.rs
+++ b/crates/rig/src/scale/start.rs
@@ -2,7 +2,8 @@
 
 use crate::scale::admin::Metrics;
 use crate::scale::figure::{Figure, Measured};
-use crate::scale::trial_environment::{TrialEnvironment, TrialError};
+use crate::scale::trial_environment::TrialEnvironment;
+use crate::scale::trial_error::TrialError;
 use crate::time::{Micros, SECOND};
 use thiserror::Error;
 
@@ -69,7 +70,7 @@
     dispatchers.iter().map(sent).max().unwrap_or(0)
 }
 
-/// Who did not accept the list, how often it was sent there, and the last line about it in the log of one of them.
+/// How many dispatchers did not accept the list, how often it was sent there, and the last line about it in the log of one of them.
 fn rejection(environment: &mut TrialEnvironment, without: &[usize]) -> String {
     let bytes = environment.registry.list_bytes();
     let sent = most_lists_sent(environment, without);
