--- a/crates/capacity/src/experiment/partition.rs
+++ b/crates/capacity/src/experiment/partition.rs
@@ -6,7 +6,7 @@
 use crate::figure::Figure;
 use crate::site::TARGET_DISPATCHERS;
 use crate::{Micros, SECOND};
-use roselock_peers::count::{Count, Fleet};
+use roselock_peers::member_count::{Fleet, MemberCount};
 
 /// Regions, which the partition separates.
 const REGIONS: u32 = 3;
@@ -43,13 +43,13 @@
 /// How many members a member of the first region counts.
 fn counted_in_a_region(end: Micros) -> u32 {
     let configured = Fleet { size: TARGET_DISPATCHERS, me: 0 };
-    let mut count = Count::new(&name(0), configured, LONGEST_PARTITION, 0);
+    let mut count = MemberCount::new(&name(0), configured, LONGEST_PARTITION, 0);
     for member in 1..TARGET_DISPATCHERS {
-        count.up(&name(member), SECOND);
+        count.member_up(&name(member), SECOND);
     }
     count.fleet(CONNECTED, true);
     for member in TARGET_DISPATCHERS / REGIONS..TARGET_DISPATCHERS {
-        count.lost(&name(member), CONNECTED);
+        count.member_lost(&name(member), CONNECTED);
     }
     count.fleet(end, false).size
 }
--- a/crates/capacity/src/simulated_members.rs
+++ b/crates/capacity/src/simulated_members.rs
@@ -5,9 +5,9 @@
 use crate::{Micros, SECOND};
 use oorandom::Rand64;
 use roselock_peers::codec;
-use roselock_peers::count::Fleet;
-use roselock_peers::lists::News;
+use roselock_peers::lists::ListUpdate;
 use roselock_peers::member::Member;
+use roselock_peers::member_count::Fleet;
 use roselock_peers::peers::{Action, Event, Peers, Settings, WatchMode};
 use roselock_peers::wire::{FrameBody, PacketBody, Target};
 use std::cmp::Reverse;
@@ -55,7 +55,7 @@
         answer: Option<Vec<u8>>,
     },
     ListReceived(usize),
-    WatchEvent(usize, News),
+    WatchEvent(usize, ListUpdate),
     Heartbeat,
 }
 
@@ -200,9 +200,9 @@
             cluster: CLUSTER.into(),
             seeds: (0..SEED_MEMBERS.min(self.count)).map(|seed| member_address(seed as usize)).collect(),
             configured: Fleet { size: self.count, me: me as u32 },
-            askers: WATCHERS,
+            watchers: WATCHERS,
             stale_after: STALE_AFTER,
-            heal: LONGEST_PARTITION,
+            longest_partition: LONGEST_PARTITION,
             max_members: MAX_MEMBERS,
         }
     }
@@ -258,7 +258,8 @@
         self.changed_at = self.now;
         let target = &mut self.endpoints[worker as usize];
         target.state = 2;
-        let news = News { whole: false, rev: self.version, targets: vec![target.clone()], asked: 0 };
+        let news =
+            ListUpdate { complete: false, rev: self.version, targets: vec![target.clone()], requested_at: 0 };
         for member in 0..self.members.len() {
             if self.members[member].watches {
                 let at = self.now + self.random_delay();
@@ -396,12 +397,17 @@
             Occurrence::ListReceived(member) => {
                 self.members[member].watches = true;
                 let asked = self.now - CALL_DURATION;
-                let news = News { whole: true, rev: self.version, targets: self.endpoints.clone(), asked };
-                self.handle_event(member, Event::ListNews(news));
+                let news = ListUpdate {
+                    complete: true,
+                    rev: self.version,
+                    targets: self.endpoints.clone(),
+                    requested_at: asked,
+                };
+                self.handle_event(member, Event::ListUpdate(news));
             }
             Occurrence::WatchEvent(member, news) => {
                 if self.members[member].watches {
-                    self.handle_event(member, Event::ListNews(news));
+                    self.handle_event(member, Event::ListUpdate(news));
                 }
             }
             Occurrence::Heartbeat => {
--- a/crates/peers/src/codec.rs
+++ b/crates/peers/src/codec.rs
@@ -16,13 +16,16 @@
 pub const MAX_FRAME: usize = 1 << 20;
 
 /// Why a datagram or frame was rejected.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum Rejected {
     /// It is malformed.
+    #[error("it is malformed")]
     Garbage,
     /// It is of another format.
+    #[error("it is of another format")]
     Format,
     /// It is of another cluster.
+    #[error("it is of another cluster")]
     Cluster,
 }
 
@@ -72,17 +75,19 @@
     Ok((from, frame.body.ok_or(Rejected::Garbage)?))
 }
 
-/// The name of who sends a frame, of whatever cluster, for who stands between.
+/// The name of the sender of a frame of any cluster, for a relay between members.
 pub fn sender(bytes: &[u8]) -> Option<String> {
     Frame::decode(bytes).ok()?.from.map(|from| from.name)
 }
 
 fn check(ours: u64, format: u32, theirs: u64) -> Result<(), Rejected> {
-    match () {
-        () if format != FORMAT => Err(Rejected::Format),
-        () if theirs != ours => Err(Rejected::Cluster),
-        () => Ok(()),
+    if format != FORMAT {
+        return Err(Rejected::Format);
     }
+    if theirs != ours {
+        return Err(Rejected::Cluster);
+    }
+    Ok(())
 }
 
 /// Header kinds that belong to probes.
@@ -109,18 +114,11 @@
     pub seen: Arc<Observed>,
 }
 
-/// It does not fit, or is malformed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A message does not fit, or is malformed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("does not fit, or makes no sense")]
 pub struct Malformed;
 
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("does not fit, or makes no sense")
-    }
-}
-
-impl std::error::Error for Malformed {}
-
 fn write_delimited(message: &impl prost::Message, mut buf: impl BufMut) -> Result<(), Malformed> {
     message.encode_length_delimited(&mut buf).map_err(|_| Malformed)
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,12 +1,12 @@
-//! Dispatchers that know one another.
+//! Dispatchers in one membership: failure detection, dissemination of the host list, and the size of the fleet.
 
-pub mod askers;
 pub mod codec;
-pub mod count;
 pub mod lists;
 pub mod member;
+pub mod member_count;
 pub mod membership;
 pub mod peers;
+pub mod watchers;
 pub mod wire;
 
 /// A point in time or a span, in microseconds.
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -1,250 +1,287 @@
-//! The host list as one member holds it: which version, what follows on what, and what to pass on. Nothing is passed on
-//! that did not come from the list service, or from a member that vouches for it by version and digest.
+//! The host list of one member: its version, its recent changes, and what to disseminate. Only lists of the discovery
+//! service are disseminated, and those of other members whose version and digest match.
 
 use crate::Micros;
 use crate::wire::{Change, Listing, Target, Version};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes kept for members that missed some, and their bytes.
-const KEPT: usize = 64;
-const KEPT_BYTES: usize = 64 * 1024;
-/// A host that is gone.
+/// The limit of the changes that are stored for members that have missed some.
+const MAX_HISTORY: usize = 64;
+/// The limit of their size, in bytes.
+const MAX_HISTORY_BYTES: usize = 64 * 1024;
+/// The state of a host that is gone.
 pub const GONE: u32 = 3;
 
-/// What the list service said.
+/// A list, or a change of it, from the discovery service.
 #[derive(Clone, Debug, Default)]
-pub struct News {
-    /// It is complete.
-    pub whole: bool,
-    /// Its rev.
+pub struct ListUpdate {
+    /// Whether it is complete.
+    pub complete: bool,
+    /// Its revision.
     pub rev: u64,
-    /// Its lines.
+    /// Its hosts.
     pub targets: Vec<Target>,
-    /// When the call that it answers began, for a complete one.
-    pub asked: Micros,
+    /// When the request for it began, for a complete one.
+    pub requested_at: Micros,
 }
 
-/// What to do.
+/// What follows from an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListAction {
-    /// Tell the decisions: complete or not, the lines, and how long ago the service spoke.
+    /// Update the hosts of the decisions: whether the list is complete, its hosts, and its age.
     Update(bool, Vec<Target>, Micros),
-    /// Pass on that there is a new version, with the change that leads to it if one does.
+    /// Disseminate the new version, with the change that leads to it if there is one.
     Disseminate(Option<Change>),
-    /// Fetch what follows from whoever said so.
+    /// Pull the missing changes from the member that has them.
     Pull,
-    /// Ask the service for the whole list: what is held does not go with what was heard.
+    /// Request the complete list from the service: the current list contradicts another one.
     Reload(ReloadReason),
 }
 
-/// Why the service is asked for the whole list.
+/// Why the complete list is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadReason {
-    /// Two different lists of one version.
+    /// There are two different lists of one version.
     Conflict,
-    /// What is held came by members while the call was under way, and is later.
+    /// While the request was in flight, a later list arrived from other members.
     Overtaken,
-    /// The watch belongs to a service that has begun again since.
-    Former,
+    /// The watch belongs to an earlier instance of the service.
+    EarlierService,
 }
 
-/// A list of a version.
+/// The position of a version in the order of versions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Revision {
+    generation: u64,
+    rev: u64,
+}
+
+impl Revision {
+    fn of(version: &Version) -> Revision {
+        Revision { generation: version.generation, rev: version.rev }
+    }
+}
+
+/// A list and its version.
 #[derive(Clone, Debug)]
-struct Held {
+struct CurrentList {
     version: Version,
-    lines: BTreeMap<String, Target>,
-    /// When the service spoke last, as far as is known here.
-    spoke: Micros,
-    /// When this version came.
-    came: Micros,
+    hosts: BTreeMap<String, Target>,
+    /// When the service was last heard, by this member or another.
+    service_heard_at: Micros,
+    /// When this version was received.
+    received_at: Micros,
 }
 
-/// The list, and what led to it.
+/// The current list and its recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct Lists {
-    held: Option<Held>,
-    /// The version up to which our own watch has told, while it is open.
-    watch: Option<(u64, u64)>,
+    current: Option<CurrentList>,
+    /// The latest revision from our own watch, while it is open.
+    watch: Option<Revision>,
     history: VecDeque<Change>,
-    bytes: usize,
-    /// A version of which two lists were seen: nothing of it is passed on until the service has spoken.
-    torn: Option<(u64, u64)>,
+    history_bytes: usize,
+    /// A revision with two different lists: it is not disseminated until the service has sent a list.
+    conflicting: Option<Revision>,
 }
 
-/// A line's part of the digest.
-fn hash(target: &Target) -> u64 {
+/// The hash of a host; the digest of a list is the sum over its hosts.
+fn host_hash(target: &Target) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&target.encode_to_vec())
 }
 
-fn sum<'a>(lines: impl Iterator<Item = &'a Target>) -> u64 {
-    lines.fold(0, |sum, t| sum.wrapping_add(hash(t)))
+fn digest_of<'a>(hosts: impl Iterator<Item = &'a Target>) -> u64 {
+    hosts.fold(0, |sum, host| sum.wrapping_add(host_hash(host)))
+}
+
+/// The hosts of a complete list by name, without those that are gone.
+fn hosts_by_name(targets: &[Target]) -> BTreeMap<String, Target> {
+    let present = targets.iter().filter(|target| target.state != GONE);
+    present.map(|target| (target.uid.clone(), target.clone())).collect()
 }
 
-fn order(version: &Version) -> (u64, u64) {
-    (version.generation, version.rev)
+/// The actions without [`ListAction::Pull`].
+fn without_pull(actions: Vec<ListAction>) -> Vec<ListAction> {
+    actions.into_iter().filter(|action| *action != ListAction::Pull).collect()
 }
 
 impl Lists {
-    /// What is held.
+    /// The version of the current list.
     pub fn version(&self) -> Option<Version> {
-        self.held.as_ref().map(|h| h.version)
+        self.current.as_ref().map(|current| current.version)
     }
-    /// How many hosts.
+    /// The number of hosts.
     pub fn hosts(&self) -> usize {
-        self.held.as_ref().map_or(0, |h| h.lines.len())
+        self.current.as_ref().map_or(0, |current| current.hosts.len())
     }
-    /// How long ago the service spoke, as far as is known.
+    /// The age of the list: how long ago the service was last heard, by this member or another.
     pub fn age(&self, now: Micros) -> Option<Micros> {
-        self.held.as_ref().map(|h| (now - h.spoke).max(0))
+        self.current.as_ref().map(|current| (now - current.service_heard_at).max(0))
     }
     /// Whether our own watch is open.
     pub fn watches(&self) -> bool {
         self.watch.is_some()
     }
 
-    /// The service has said something on our own call or watch.
-    pub fn service(&mut self, now: Micros, news: News) -> Vec<ListAction> {
-        if news.whole { self.service_whole(now, news) } else { self.service_change(now, news) }
+    /// Applies an update from our own request or watch.
+    pub fn service_update(&mut self, now: Micros, update: ListUpdate) -> Vec<ListAction> {
+        if update.complete { self.apply_complete(now, update) } else { self.apply_change(now, update) }
     }
 
-    fn service_whole(&mut self, now: Micros, news: News) -> Vec<ListAction> {
-        let lines: BTreeMap<String, Target> =
-            news.targets.iter().filter(|t| t.state != GONE).map(|t| (t.uid.clone(), t.clone())).collect();
-        let digest = sum(lines.values());
-        let generation = match &self.held {
+    fn apply_complete(&mut self, now: Micros, update: ListUpdate) -> Vec<ListAction> {
+        let hosts = hosts_by_name(&update.targets);
+        let digest = digest_of(hosts.values());
+        let generation = match &self.current {
             None => 1,
-            Some(held) => {
-                let same = held.version.rev == news.rev && held.version.digest == digest;
-                let back = news.rev < held.version.rev || (news.rev == held.version.rev && !same);
-                if back && held.came >= news.asked {
+            Some(current) => {
+                let same = current.version.rev == update.rev && current.version.digest == digest;
+                let is_earlier =
+                    update.rev < current.version.rev || (update.rev == current.version.rev && !same);
+                if is_earlier && current.received_at >= update.requested_at {
                     return vec![ListAction::Reload(ReloadReason::Overtaken)];
                 }
-                // It answers later than we held more: it has begun again.
-                held.version.generation + u64::from(back)
+                // A later response with an earlier list: the service has restarted.
+                current.version.generation + u64::from(is_earlier)
             }
         };
-        self.torn = None;
-        let version = Version { generation, rev: news.rev, digest };
-        self.watch = Some(order(&version));
-        let new = self.version() != Some(version);
-        self.hold(version, lines, now, now);
-        let mut what = vec![ListAction::Update(true, news.targets, 0)];
-        if new {
-            self.forget();
-            what.push(ListAction::Disseminate(None));
+        self.conflicting = None;
+        let version = Version { generation, rev: update.rev, digest };
+        self.watch = Some(Revision::of(&version));
+        let is_new = self.version() != Some(version);
+        self.replace(version, hosts, now, now);
+        let mut actions = vec![ListAction::Update(true, update.targets, 0)];
+        if is_new {
+            self.clear_history();
+            actions.push(ListAction::Disseminate(None));
         }
-        what
+        actions
     }
 
-    fn service_change(&mut self, now: Micros, news: News) -> Vec<ListAction> {
-        let Some((generation, told)) = self.watch else {
-            return vec![ListAction::Reload(ReloadReason::Former)];
+    fn apply_change(&mut self, now: Micros, update: ListUpdate) -> Vec<ListAction> {
+        let Some(watch) = self.watch else {
+            return vec![ListAction::Reload(ReloadReason::EarlierService)];
         };
-        let Some(held) = &mut self.held else { return vec![ListAction::Reload(ReloadReason::Former)] };
-        if held.version.generation != generation {
+        let Some(current) = &mut self.current else {
+            return vec![ListAction::Reload(ReloadReason::EarlierService)];
+        };
+        let generation = watch.generation;
+        if current.version.generation != generation {
             self.watch = None;
-            return vec![ListAction::Reload(ReloadReason::Former)];
+            return vec![ListAction::Reload(ReloadReason::EarlierService)];
         }
-        held.spoke = now;
-        self.watch = Some((generation, told.max(news.rev)));
-        if news.rev <= held.version.rev {
+        current.service_heard_at = now;
+        self.watch = Some(Revision { generation, rev: watch.rev.max(update.rev) });
+        if update.rev <= current.version.rev {
             return Vec::new();
         }
-        let before = held.version;
-        let after = self.apply(news.rev, generation, &news.targets, now, now);
-        let change =
-            Change { from: None, before: Some(before), after: Some(after), age_us: 0, targets: news.targets };
-        let told = change.targets.clone();
-        self.keep(change.clone());
-        vec![ListAction::Update(false, told, 0), ListAction::Disseminate(Some(change))]
+        let before = current.version;
+        let revision = Revision { generation, rev: update.rev };
+        let after = self.apply_targets(revision, &update.targets, now, now);
+        let change = Change {
+            from: None,
+            before: Some(before),
+            after: Some(after),
+            age_us: 0,
+            targets: update.targets,
+        };
+        let targets = change.targets.clone();
+        self.record_change(change.clone());
+        vec![ListAction::Update(false, targets, 0), ListAction::Disseminate(Some(change))]
     }
 
-    /// Our own watch was opened after what is held, without a complete list: the service goes on from there.
-    pub fn opened(&mut self, now: Micros) {
-        if let Some(held) = &mut self.held {
-            held.spoke = now;
-            self.watch = Some(order(&held.version));
+    /// Our own watch has been opened; it continues from the current version.
+    pub fn watch_opened(&mut self, now: Micros) {
+        if let Some(current) = &mut self.current {
+            current.service_heard_at = now;
+            self.watch = Some(Revision::of(&current.version));
         }
     }
 
-    /// A word of our own watch without news.
-    pub fn alive(&mut self, now: Micros) {
-        let generation = self.watch.map(|w| w.0);
-        if let Some(held) = self.held.as_mut().filter(|h| generation == Some(h.version.generation)) {
-            held.spoke = now;
+    /// A keep-alive of our own watch.
+    pub fn watch_alive(&mut self, now: Micros) {
+        let Some(watch) = self.watch else { return };
+        if let Some(current) = &mut self.current
+            && current.version.generation == watch.generation
+        {
+            current.service_heard_at = now;
         }
     }
 
     /// Our own watch has ended.
-    pub fn closed(&mut self) {
+    pub fn watch_closed(&mut self) {
         self.watch = None;
     }
 
-    /// A member has this version, and an asker's service spoke so long ago.
-    pub fn compare(&mut self, now: Micros, theirs: &Version, age: Micros) -> Vec<ListAction> {
-        let Some(held) = &mut self.held else { return vec![ListAction::Pull] };
-        if *theirs == held.version {
-            held.spoke = held.spoke.max(now - age);
+    /// Compares the version of another member, whose list has this age.
+    pub fn receive_version(&mut self, now: Micros, theirs: &Version, age: Micros) -> Vec<ListAction> {
+        let Some(current) = &mut self.current else { return vec![ListAction::Pull] };
+        if *theirs == current.version {
+            current.service_heard_at = current.service_heard_at.max(now - age);
             return Vec::new();
         }
-        if order(theirs) == order(&held.version) {
-            return self.tear(order(theirs));
+        if Revision::of(theirs) == Revision::of(&current.version) {
+            return self.report_conflict(Revision::of(theirs));
+        }
+        if Revision::of(theirs) > Revision::of(&current.version) {
+            vec![ListAction::Pull]
+        } else {
+            Vec::new()
         }
-        if order(theirs) > order(&held.version) { vec![ListAction::Pull] } else { Vec::new() }
     }
 
-    fn tear(&mut self, version: (u64, u64)) -> Vec<ListAction> {
-        if self.torn.replace(version) == Some(version) {
+    /// Requests the complete list, once per conflicting revision.
+    fn report_conflict(&mut self, revision: Revision) -> Vec<ListAction> {
+        if self.conflicting.replace(revision) == Some(revision) {
             return Vec::new();
         }
         vec![ListAction::Reload(ReloadReason::Conflict)]
     }
 
-    /// Whether what is held may be passed on.
-    pub fn sound(&self) -> bool {
-        self.held.as_ref().is_some_and(|h| self.torn != Some(order(&h.version)))
+    /// Whether the current list may be shared with other members.
+    pub fn may_share(&self) -> bool {
+        self.current.as_ref().is_some_and(|current| self.conflicting != Some(Revision::of(&current.version)))
     }
 
-    /// A member passes on a change.
-    pub fn change(&mut self, now: Micros, change: Change) -> Vec<ListAction> {
+    /// Applies a change from another member.
+    pub fn receive_change(&mut self, now: Micros, change: Change) -> Vec<ListAction> {
         let (Some(before), Some(after)) = (change.before, change.after) else { return Vec::new() };
-        let (age, Some(held)) = (change.age_us as Micros, &self.held) else { return vec![ListAction::Pull] };
-        if order(&after) <= order(&held.version) || before != held.version {
-            return self.compare(now, &after, age);
+        let Some(current) = &self.current else { return vec![ListAction::Pull] };
+        let age = change.age_us as Micros;
+        if Revision::of(&after) <= Revision::of(&current.version) || before != current.version {
+            return self.receive_version(now, &after, age);
         }
-        let undo = (held.version, held.lines.clone(), held.spoke, held.came);
-        let reached = self.apply(after.rev, after.generation, &change.targets, now - age, now);
+        let backup = current.clone();
+        let reached = self.apply_targets(Revision::of(&after), &change.targets, now - age, now);
         if reached != after {
-            let (version, lines, spoke, came) = undo;
-            self.held = Some(Held { version, lines, spoke, came });
+            self.current = Some(backup);
             return vec![ListAction::Pull];
         }
         let change = Change { from: None, ..change };
-        self.keep(change.clone());
+        self.record_change(change.clone());
         vec![ListAction::Update(false, change.targets.clone(), age), ListAction::Disseminate(Some(change))]
     }
 
-    /// The answer to what a member asks for: what follows on its version, or all.
-    pub fn listing(&self, now: Micros, from: &Version) -> Option<Listing> {
-        let held = self.held.as_ref().filter(|_| self.sound())?;
-        let age_us = (now - held.spoke).max(0) as u64;
-        let after = Some(held.version);
-        let steps = self.history.iter().position(|c| c.before.as_ref() == Some(from));
-        if let Some(first) = steps {
+    /// The response to the pull of a member: the changes since its version, or the complete list.
+    pub fn answer_pull(&self, now: Micros, from: &Version) -> Option<Listing> {
+        let current = self.current.as_ref().filter(|_| self.may_share())?;
+        let age_us = (now - current.service_heard_at).max(0) as u64;
+        let after = Some(current.version);
+        let first_change = self.history.iter().position(|change| change.before.as_ref() == Some(from));
+        if let Some(first) = first_change {
             let mut changed: BTreeMap<&str, &Target> = BTreeMap::new();
             for change in self.history.iter().skip(first) {
-                changed.extend(change.targets.iter().map(|t| (t.uid.as_str(), t)));
+                changed.extend(change.targets.iter().map(|target| (target.uid.as_str(), target)));
             }
             let targets = changed.into_values().cloned().collect();
             return Some(Listing { before: Some(*from), after, age_us, targets });
         }
-        let targets = held.lines.values().cloned().collect();
+        let targets = current.hosts.values().cloned().collect();
         Some(Listing { before: None, after, age_us, targets })
     }
 
-    /// A member's answer to what we asked for.
-    pub fn listed(&mut self, now: Micros, listing: Listing) -> Vec<ListAction> {
+    /// Applies the response of a member to our pull.
+    pub fn receive_listing(&mut self, now: Micros, listing: Listing) -> Vec<ListAction> {
         let Some(after) = listing.after else { return Vec::new() };
         if let Some(before) = listing.before {
             let change = Change {
@@ -254,66 +291,72 @@
                 age_us: listing.age_us,
                 targets: listing.targets,
             };
-            // What does not follow any more was overtaken: the next digest says so.
-            return self.change(now, change).into_iter().filter(|d| *d != ListAction::Pull).collect();
+            // Changes that no longer apply were overtaken: the next digest shows what is missing.
+            return without_pull(self.receive_change(now, change));
         }
         let age = listing.age_us as Micros;
-        if let Some(held) = &self.held
-            && order(&after) <= order(&held.version)
+        if let Some(current) = &self.current
+            && Revision::of(&after) <= Revision::of(&current.version)
         {
-            return self.compare(now, &after, age).into_iter().filter(|d| *d != ListAction::Pull).collect();
+            return without_pull(self.receive_version(now, &after, age));
         }
-        let lines: BTreeMap<String, Target> =
-            listing.targets.iter().filter(|t| t.state != GONE).map(|t| (t.uid.clone(), t.clone())).collect();
-        if sum(lines.values()) != after.digest {
+        let hosts = hosts_by_name(&listing.targets);
+        if digest_of(hosts.values()) != after.digest {
             return Vec::new();
         }
-        self.hold(after, lines, now - age, now);
-        self.forget();
+        self.replace(after, hosts, now - age, now);
+        self.clear_history();
         vec![ListAction::Update(true, listing.targets, age), ListAction::Disseminate(None)]
     }
 
-    fn hold(&mut self, version: Version, lines: BTreeMap<String, Target>, spoke: Micros, now: Micros) {
-        self.held = Some(Held { version, lines, spoke, came: now });
+    fn replace(
+        &mut self,
+        version: Version,
+        hosts: BTreeMap<String, Target>,
+        service_heard_at: Micros,
+        now: Micros,
+    ) {
+        self.current = Some(CurrentList { version, hosts, service_heard_at, received_at: now });
     }
 
-    /// Applies lines to what is held: the version that it leads to.
-    fn apply(
+    /// Applies changed hosts to the current list, and returns its new version.
+    fn apply_targets(
         &mut self,
-        rev: u64,
-        generation: u64,
+        revision: Revision,
         targets: &[Target],
-        spoke: Micros,
+        service_heard_at: Micros,
         now: Micros,
     ) -> Version {
-        let Some(held) = &mut self.held else { return Version::default() };
-        let mut digest = held.version.digest;
+        let Some(current) = &mut self.current else { return Version::default() };
+        let mut digest = current.version.digest;
         for target in targets {
             let former = match target.state {
-                GONE => held.lines.remove(&target.uid),
-                _ => held.lines.insert(target.uid.clone(), target.clone()),
+                GONE => current.hosts.remove(&target.uid),
+                _ => current.hosts.insert(target.uid.clone(), target.clone()),
             };
-            digest = former.map_or(digest, |f| digest.wrapping_sub(hash(&f)));
+            digest = former.map_or(digest, |former| digest.wrapping_sub(host_hash(&former)));
             if target.state != GONE {
-                digest = digest.wrapping_add(hash(target));
+                digest = digest.wrapping_add(host_hash(target));
             }
         }
-        held.version = Version { generation, rev, digest };
-        (held.spoke, held.came) = (held.spoke.max(spoke), now);
-        held.version
+        current.version = Version { generation: revision.generation, rev: revision.rev, digest };
+        current.service_heard_at = current.service_heard_at.max(service_heard_at);
+        current.received_at = now;
+        current.version
     }
 
-    fn keep(&mut self, change: Change) {
-        self.bytes += change.encoded_len();
+    /// Adds a change to the history, whose oldest changes are dropped beyond its limits.
+    fn record_change(&mut self, change: Change) {
+        self.history_bytes += change.encoded_len();
         self.history.push_back(change);
-        while self.history.len() > KEPT || self.bytes > KEPT_BYTES {
+        while self.history.len() > MAX_HISTORY || self.history_bytes > MAX_HISTORY_BYTES {
             let Some(first) = self.history.pop_front() else { break };
-            self.bytes -= first.encoded_len();
+            self.history_bytes -= first.encoded_len();
         }
     }
 
-    fn forget(&mut self) {
+    fn clear_history(&mut self) {
         self.history.clear();
-        self.bytes = 0;
+        self.history_bytes = 0;
     }
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,5 +1,5 @@
-//! One dispatcher among its peers: takes in datagrams, requests, responses, news of the list service and time; says
-//! what to send, what to tell the decisions, and whether to keep a watch at the list service.
+//! One dispatcher among its peers: handles datagrams, requests, responses, updates of the discovery service and time; returns
+//! what to send, what to notify the decisions of, and whether to watch the discovery service.
 
 mod api;
 mod host_list;
@@ -10,24 +10,25 @@
 
 pub use api::{Action, Event, Figures, Settings, Standing, WatchMode};
 
-use crate::askers::Askers;
 use crate::codec;
-use crate::count::{Count, Fleet};
 use crate::lists::Lists;
+use crate::member_count::{Fleet, MemberCount};
 use crate::membership::{self, Membership};
+use crate::watchers::Watchers;
 use crate::wire::{FrameBody, PacketBody};
 use crate::{Micros, SECOND};
 use std::net::SocketAddr;
 use suspicion::RelayedSuspicion;
 
-/// How often digests are sent, and to how many members.
+/// The mean interval between two digests.
 const DIGEST_PERIOD: Micros = SECOND * 2 / 5;
+/// The number of members that a digest is sent to.
 const DIGEST_FANOUT: usize = 2;
-/// How often all member states are exchanged with one other member.
+/// The mean interval between two exchanges of all member states with one other member.
 const FULL_EXCHANGE_PERIOD: Micros = 20 * SECOND;
-/// The first full exchanges come so long after the first other member was seen.
+/// The times of the first full exchanges, from when the first other member was seen.
 const FIRST_FULL_EXCHANGES: [Micros; 3] = [0, SECOND / 2, 3 * SECOND / 2];
-/// A request over TCP may take so long.
+/// The time-out of a request over TCP.
 pub const REQUEST_TIMEOUT: Micros = 2 * SECOND;
 /// How often the watch mode and the number of dispatchers are reviewed.
 const REVIEW_PERIOD: Micros = SECOND / 10;
@@ -37,9 +38,9 @@
     settings: Settings,
     cluster_hash: u64,
     membership: Membership,
-    askers: Askers,
+    watchers: Watchers,
     lists: Lists,
-    count: Count,
+    member_count: MemberCount,
     started_at: Micros,
     /// When the first other member was seen.
     first_peer_at: Option<Micros>,
@@ -47,7 +48,7 @@
     next_full_exchange: Micros,
     next_digest: Micros,
     next_review: Micros,
-    /// When it is decided anew who keeps a watch: at each change of the members, and periodically.
+    /// When watchers are next elected: at each change of the members, and periodically.
     next_election: Micros,
     watch_mode: WatchMode,
     fleet: Fleet,
@@ -64,9 +65,14 @@
         Peers {
             cluster_hash: codec::cluster_hash(&settings.cluster),
             membership: Membership::new(me, seeds, settings.max_members, random_seed, now),
-            askers: Askers::default(),
+            watchers: Watchers::default(),
             lists: Lists::default(),
-            count: Count::new(&settings.me.name, settings.configured, settings.heal, now),
+            member_count: MemberCount::new(
+                &settings.me.name,
+                settings.configured,
+                settings.longest_partition,
+                now,
+            ),
             started_at: now,
             first_peer_at: None,
             full_exchanges: 0,
@@ -83,10 +89,10 @@
         }
     }
 
-    /// Takes over new settings; the member and its cluster stay.
+    /// Applies new settings; the member and its cluster stay.
     pub fn reconfigure(&mut self, new: Settings) {
         self.membership.set_seeds(new.seeds.clone());
-        self.count.tell(new.configured, new.heal);
+        self.member_count.configure(new.configured, new.longest_partition);
         let (me, cluster) = (self.settings.me.clone(), self.settings.cluster.clone());
         self.settings = Settings { me, cluster, ..new };
     }
@@ -96,29 +102,29 @@
         self.membership.next_deadline().min(self.next_review).min(self.next_digest)
     }
 
-    /// Takes in an event, and appends the actions that follow.
+    /// Handles an event, and appends the actions that follow.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let mut out = membership::Output::default();
         match event {
             Event::Datagram(bytes) => self.receive_datagram(now, bytes, &mut out, actions),
             Event::Response(from, response) => self.receive_response(now, from, response, &mut out, actions),
-            Event::ListNews(news) => {
-                let list_actions = self.lists.service(now, news);
+            Event::ListUpdate(update) => {
+                let list_actions = self.lists.service_update(now, update);
                 self.perform_list_actions(now, list_actions, None, actions);
                 self.note_own_watch(now);
             }
             Event::WatchOpened => {
-                self.lists.opened(now);
+                self.lists.watch_opened(now);
                 self.note_own_watch(now);
             }
             Event::WatchAlive => {
-                self.lists.alive(now);
+                self.lists.watch_alive(now);
                 self.note_own_watch(now);
             }
             Event::WatchClosed => {
-                self.lists.closed();
+                self.lists.watch_closed();
                 let name = self.me().name.clone();
-                self.askers.said(&name, false, now);
+                self.watchers.record(&name, false, now);
                 self.next_election = now;
                 self.review(now, actions);
             }
@@ -140,7 +146,7 @@
         if now >= self.next_digest {
             let jitter = self.membership.random_unit();
             self.next_digest = now + (DIGEST_PERIOD as f64 * (0.75 + jitter / 2.0)) as Micros;
-            self.askers.forget(now);
+            self.watchers.expire(now);
             let receivers = self.membership.sample(DIGEST_FANOUT);
             self.send_digest(now, &receivers, false, actions);
         }
@@ -158,7 +164,7 @@
         }
     }
 
-    /// Sends what the membership wants sent, and takes in its changes.
+    /// Sends the messages of the membership, and applies its changes.
     fn apply_membership(&mut self, now: Micros, out: membership::Output, actions: &mut Vec<Action>) {
         for (to, swim) in out.swim {
             self.send(to, codec::encode_packet(self.cluster_hash, PacketBody::Swim(swim)), actions);
@@ -172,15 +178,16 @@
         }
         for change in out.changes {
             match &change {
-                membership::Change::Up(m) => self.count.up(&m.name, now),
-                membership::Change::Lost(m) => self.count.lost(&m.name, now),
-                membership::Change::Left(m) => self.count.left(&m.name, now),
+                membership::Change::Up(member) => self.member_count.member_up(&member.name, now),
+                membership::Change::Lost(member) => self.member_count.member_lost(&member.name, now),
+                membership::Change::Left(member) => self.member_count.member_left(&member.name, now),
                 membership::Change::Back(_) => {}
             }
             actions.push(Action::MemberChanged(change));
         }
         if self.first_peer_at.is_none() && !self.membership.live().is_empty() {
-            (self.first_peer_at, self.next_full_exchange) = (Some(now), now);
+            self.first_peer_at = Some(now);
+            self.next_full_exchange = now;
             self.next_digest = now;
         }
         for (member, incarnation) in out.suspicions {
--- a/crates/peers/src/peers/api.rs
+++ b/crates/peers/src/peers/api.rs
@@ -1,9 +1,9 @@
-//! What goes into and comes out of [`Peers`](super::Peers).
+//! The settings, events, actions and figures of [`Peers`](super::Peers).
 
 use crate::Micros;
-use crate::count::Fleet;
-use crate::lists::{News, ReloadReason};
+use crate::lists::{ListUpdate, ReloadReason};
 use crate::member::Member;
+use crate::member_count::Fleet;
 use crate::membership;
 use crate::wire::Target;
 use std::net::SocketAddr;
@@ -17,67 +17,67 @@
     pub cluster: String,
     /// Addresses of members through which to join; one that answers is enough.
     pub seeds: Vec<SocketAddr>,
-    /// How many dispatchers the decisions were configured with.
+    /// The configured fleet.
     pub configured: Fleet,
-    /// How many members keep a watch at the list service; at least two in each zone.
-    pub askers: usize,
-    /// A member whose list is older than this asks the list service itself.
+    /// How many members watch the discovery service; at least two in each zone.
+    pub watchers: usize,
+    /// A member whose list is older than this polls the discovery service itself.
     pub stale_after: Micros,
-    /// The longest partition that is expected: for so long failed members are still counted.
-    pub heal: Micros,
-    /// Most members that are known at a time.
+    /// The longest expected partition: for so long failed members still count.
+    pub longest_partition: Micros,
+    /// The limit of the members that are known at a time.
     pub max_members: usize,
 }
 
-/// Something that came in, or time that passed.
+/// An input of a member.
 pub enum Event<'a> {
     /// A datagram.
     Datagram(&'a [u8]),
-    /// The response to a request of ours, by the address that it went to; none if none came in time.
+    /// The response to a request of ours, by the address that it was sent to; none after a time-out.
     Response(SocketAddr, Option<&'a [u8]>),
-    /// The list service has sent a list, or a change of it.
-    ListNews(News),
-    /// Our watch at the list service is open, and goes on from the version that is held.
+    /// The discovery service has sent a list, or a change of it.
+    ListUpdate(ListUpdate),
+    /// Our watch at the discovery service is open, and continues from the current version.
     WatchOpened,
     /// A keep-alive of our watch.
     WatchAlive,
-    /// Our call failed, or our watch ended.
+    /// Our request failed, or our watch ended.
     WatchClosed,
     /// Time has passed.
     Tick,
 }
 
-/// Whether this member keeps a watch at the list service.
+/// Whether this member watches the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// No: the peers pass the list on.
+    /// No: the list comes from the peers.
     Off,
     /// Yes, at once.
     Now,
-    /// Yes, but paced as without peers: at this member's place in a round.
+    /// Yes, but paced as without peers: at the time of this member in a poll round.
     Paced,
 }
 
-/// What the caller is to do.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
     /// Send a request over TCP: one frame, which is answered by one frame.
     Request(SocketAddr, Vec<u8>),
-    /// Update the decisions' hosts: whether the list is complete, its lines, and how long ago the service spoke.
+    /// Update the hosts of the decisions: whether the list is complete, its hosts, and its age.
     UpdateHosts(bool, Vec<Target>, Micros),
-    /// Keep a watch at the list service, or not.
+    /// Open or close the watch at the discovery service.
     Watch(WatchMode),
-    /// End the open watch, and ask for the complete list.
+    /// Close the open watch, and request the complete list.
     ReloadList(ReloadReason),
-    /// Tell the decisions how many dispatchers there are.
+    /// Notify the decisions of the fleet.
     Fleet(Fleet),
-    /// Who is a member has changed.
+    /// A member has changed.
     MemberChanged(membership::Change),
 }
 
-/// Figures for staff.
+/// Counters for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
     /// Datagrams sent, and their bytes.
@@ -88,21 +88,21 @@
     pub requests: (u64, u64),
     /// Dropped: malformed, of another format, of another cluster, naming too many members.
     pub dropped: [u64; 4],
-    /// Versions that were seen with different lines, for which the list was asked for anew.
+    /// Versions that were seen with different hosts, after which the complete list was requested.
     pub conflicts: u64,
-    /// Versions of the host list taken in.
+    /// Versions of the host list that were applied.
     pub versions: u64,
-    /// Age of the latest of them when it came, in microseconds.
+    /// The age of the latest of them when it was applied, in microseconds.
     pub age: Micros,
 }
 
-/// One member's state, for staff.
+/// The state of a member, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
     /// The member.
     pub member: Member,
     /// `alive`, `suspect` or `down`.
     pub state: &'static str,
-    /// It keeps a watch at the list service.
+    /// Whether it watches the discovery service.
     pub watches: bool,
 }
--- a/crates/peers/src/peers/host_list.rs
+++ b/crates/peers/src/peers/host_list.rs
@@ -6,16 +6,16 @@
 use crate::codec::{self, MAX_DATAGRAM};
 use crate::lists::{ListAction, ReloadReason};
 use crate::member::Member;
+use crate::watchers::WatchReport;
 use crate::wire::{self, Change, Digest, FrameBody, PacketBody};
 
 /// To how many members a change of the list is sent.
 const CHANGE_FANOUT: usize = 6;
-/// Most askers named in a digest.
+/// The limit of the watchers named in a digest.
 const MAX_ASKERS_IN_DIGEST: usize = 16;
 
 impl Peers {
-    /// Compares a member's digest with what is held here: pulls what is missing here, and answers with our digest where
-    /// ours is later.
+    /// Compares a member's digest with our list: pulls what is missing here, and answers with our digest if our list is later.
     pub(super) fn receive_digest(
         &mut self,
         now: Micros,
@@ -24,16 +24,16 @@
         actions: &mut Vec<Action>,
     ) {
         for asker in digest.askers.iter().take(MAX_ASKERS_IN_DIGEST) {
-            // What others say of us is what we said ourselves.
+            // A report about ourselves is one of our own that comes back.
             if asker.name != self.me().name && asker.name.len() <= crate::member::MAX_NAME {
                 let age = i64::try_from(asker.age_us).unwrap_or(Micros::MAX / 2);
-                self.askers.said(&asker.name, asker.open, now.saturating_sub(age));
+                self.watchers.record(&asker.name, asker.open, now.saturating_sub(age));
             }
         }
         let age = i64::try_from(digest.age_us).unwrap_or(Micros::MAX / 2);
         let ours = self.lists.version();
         if let Some(theirs) = &digest.version {
-            let list_actions = self.lists.compare(now, theirs, age);
+            let list_actions = self.lists.receive_version(now, theirs, age);
             self.perform_list_actions(now, list_actions, Some(from), actions);
         }
         let sender_is_behind = match (&digest.version, &ours) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends the version that is held here, and who keeps a watch as far as known.
+    /// Sends the version of our list, and the known watchers.
     pub(super) fn send_digest(
         &mut self,
         now: Micros,
@@ -58,25 +58,28 @@
             return;
         }
         let age = |at: Micros| (now - at).max(0) as u64;
-        let mut askers: Vec<wire::Asker> = self
-            .askers
-            .known(now)
-            .map(|(name, open, at)| wire::Asker { name: name.to_owned(), open, age_us: age(at) })
-            .collect();
-        askers.sort_by_key(|a| a.age_us);
+        let to_wire = |report: WatchReport| wire::Asker {
+            name: report.name.to_owned(),
+            open: report.open,
+            age_us: age(report.at),
+        };
+        let mut askers: Vec<wire::Asker> = self.watchers.recent_reports(now).map(to_wire).collect();
+        askers.sort_by_key(|asker| asker.age_us);
         askers.truncate(MAX_ASKERS_IN_DIGEST);
         let digest = Digest {
             from: Some(self.me().to_wire()),
-            version: self.lists.version().filter(|_| self.lists.sound()),
+            version: self.lists.version().filter(|_| self.lists.may_share()),
             age_us: self.lists.age(now).unwrap_or(0) as u64,
             askers,
             answer,
         };
         let packet = codec::encode_packet(self.cluster_hash, PacketBody::Digest(digest));
-        receivers.iter().for_each(|m| self.send(m.address, packet.clone(), actions));
+        for receiver in receivers {
+            self.send(receiver.address, packet.clone(), actions);
+        }
     }
 
-    /// Carries out what follows from news of the list that came from a member, or from the list service.
+    /// Performs what follows from an update of the list by a member, or by the discovery service.
     pub(super) fn perform_list_actions(
         &mut self,
         now: Micros,
@@ -116,9 +119,12 @@
             let change = Change { from: Some(self.me().to_wire()), age_us, ..change };
             codec::encode_packet(self.cluster_hash, PacketBody::Change(change))
         });
-        match packet.filter(|p| p.len() <= MAX_DATAGRAM) {
-            Some(packet) => receivers.iter().for_each(|m| self.send(m.address, packet.clone(), actions)),
-            None => self.send_digest(now, &receivers, false, actions),
+        let Some(packet) = packet.filter(|packet| packet.len() <= MAX_DATAGRAM) else {
+            self.send_digest(now, &receivers, false, actions);
+            return;
+        };
+        for receiver in &receivers {
+            self.send(receiver.address, packet.clone(), actions);
         }
     }
 }
--- a/crates/peers/src/peers/receive.rs
+++ b/crates/peers/src/peers/receive.rs
@@ -48,9 +48,9 @@
         };
         match body {
             PacketBody::Swim(swim) => {
-                codec::sender_state(&swim)
-                    .into_iter()
-                    .for_each(|source| self.member_heard(now, source, actions));
+                if let Some(source) = codec::sender_state(&swim) {
+                    self.member_heard(now, source, actions);
+                }
                 if !self.membership.receive_swim(now, &swim, out) && codec::named_members(&swim).is_none() {
                     self.count_rejected(Rejected::Garbage);
                 }
@@ -58,7 +58,9 @@
             PacketBody::Suspected(word) => self.receive_suspicion(now, &word, out, actions),
             PacketBody::Heard(state) => self.membership.confirm_alive(now, &state, out),
             PacketBody::Leaving(who) => {
-                Member::from_wire(&who).into_iter().for_each(|m| self.membership.member_left(now, &m, out));
+                if let Some(member) = Member::from_wire(&who) {
+                    self.membership.member_left(now, &member, out);
+                }
             }
             PacketBody::Digest(digest) => {
                 let Some(from) = digest.from.as_ref().and_then(Member::from_wire) else {
@@ -72,7 +74,7 @@
                     return self.count_rejected(Rejected::Garbage);
                 };
                 self.membership.observe_alive(now, &from, out);
-                let list_actions = self.lists.change(now, change);
+                let list_actions = self.lists.receive_change(now, change);
                 self.perform_list_actions(now, list_actions, Some(&from), actions);
             }
         }
@@ -97,7 +99,7 @@
         match codec::decode_frame(self.cluster_hash, bytes) {
             Ok((_, FrameBody::Members(members))) => self.membership.merge_states(now, &members, out),
             Ok((sender, FrameBody::Listing(listing))) => {
-                let list_actions = self.lists.listed(now, listing);
+                let list_actions = self.lists.receive_listing(now, listing);
                 self.perform_list_actions(now, list_actions, Some(&sender), actions);
             }
             Ok(_) => {}
@@ -126,7 +128,7 @@
                 FrameBody::Members(self.membership.export_states())
             }
             FrameBody::Pull(version) => {
-                let listing = self.lists.listing(now, &version);
+                let listing = self.lists.answer_pull(now, &version);
                 listing.map_or(FrameBody::Nothing(wire::Nothing {}), FrameBody::Listing)
             }
             FrameBody::Listing(_) | FrameBody::Nothing(_) => FrameBody::Nothing(wire::Nothing {}),
--- a/crates/peers/src/peers/status.rs
+++ b/crates/peers/src/peers/status.rs
@@ -1,9 +1,9 @@
-//! What one dispatcher knows of its peers, for staff and for who drives it.
+//! The state of one dispatcher among its peers, for operators and for the caller.
 
 use super::{Figures, Peers, Standing, WatchMode};
 use crate::Micros;
-use crate::count::Fleet;
 use crate::member::Member;
+use crate::member_count::Fleet;
 use crate::membership::Counts;
 use crate::wire::Version;
 use std::collections::BTreeSet;
@@ -25,24 +25,28 @@
         &self.figures
     }
 
-    /// The version of the host list that is held, how many hosts it has, and how long ago the service spoke.
+    /// The version of the host list, its number of hosts, and its age.
     pub fn list(&self, now: Micros) -> Option<(Version, usize, Micros)> {
         Some((self.lists.version()?, self.lists.hosts(), self.lists.age(now)?))
     }
 
-    /// How many dispatchers the decisions were told of last.
+    /// The fleet that the decisions were last notified of.
     pub fn fleet(&self) -> Fleet {
         self.fleet
     }
 
-    /// Whether our watch is open, and whether it is to be.
+    /// Whether our watch is open, and the wanted watch mode.
     pub fn watch(&self) -> (bool, WatchMode) {
         (self.lists.watches(), self.watch_mode)
     }
 
-    /// Names of the members whose watch is open, as far as known.
-    pub fn askers(&self, now: Micros) -> Vec<String> {
-        self.askers.known(now).filter(|a| a.1).map(|a| a.0.to_owned()).collect()
+    fn open_watches(&self, now: Micros) -> impl Iterator<Item = &str> {
+        self.watchers.recent_reports(now).filter(|report| report.open).map(|report| report.name)
+    }
+
+    /// The names of the members whose watch is open, as far as known.
+    pub fn watchers(&self, now: Micros) -> Vec<String> {
+        self.open_watches(now).map(str::to_owned).collect()
     }
 
     /// Whether a live member is at an address.
@@ -55,14 +59,14 @@
         self.membership.live()
     }
 
-    /// How long a suspect has to refute, as it is now.
+    /// How long a suspected member currently has to refute the suspicion.
     pub fn suspicion_timeout(&self) -> Micros {
         self.membership.suspicion_timeout()
     }
 
     /// All members with their states, sorted by name.
     pub fn standings(&self, now: Micros) -> Vec<Standing> {
-        let watching: BTreeSet<&str> = self.askers.known(now).filter(|a| a.1).map(|a| a.0).collect();
+        let watching: BTreeSet<&str> = self.open_watches(now).collect();
         let of = |m: &Member, state| Standing {
             member: m.clone(),
             state,
