--- a/crates/capacity/src/simulated_members.rs
+++ b/crates/capacity/src/simulated_members.rs
@@ -220,9 +220,9 @@
             ..Traffic::default()
         };
         for member in &self.members {
-            let (packets, bytes) = member.peers.figures().sent;
-            traffic.packets += packets;
-            traffic.bytes += bytes;
+            let sent = member.peers.figures().sent;
+            traffic.packets += sent.packets;
+            traffic.bytes += sent.bytes;
             traffic.frame_bytes += member.frame_bytes;
         }
         traffic
@@ -361,7 +361,7 @@
         let now = self.now;
         let member = &mut self.members[member];
         member.list_received_at.get_or_insert(now);
-        let version = member.peers.list(now).map_or(0, |list| list.0.rev);
+        let version = member.peers.list(now).map_or(0, |list| list.version.rev);
         if member.notified.is_none_or(|notification| notification.version != version) {
             member.notified = Some(Notification { version, at: now });
         }
--- a/crates/job-dependencies/src/conditions.rs
+++ b/crates/job-dependencies/src/conditions.rs
@@ -1,10 +1,10 @@
-//! Prerequisites that end, and jobs that become ready by that.
+//! Prerequisites that end, and the jobs that thereby become ready.
 
 use crate::job::{EndReason, EndedJob, State};
 use crate::{JobId, Micros, OnUnmet, Outcome, Quorum, Waiting};
 
 impl<P> Waiting<P> {
-    /// Takes in the outcome of a prerequisite of a job (none: it is unknown); false if the job has ended by it.
+    /// Applies the outcome of a prerequisite of a job (none: it is unknown); false if the job ends by it.
     pub(crate) fn settle_prerequisite(
         &mut self,
         key: usize,
@@ -14,7 +14,7 @@
         ended: &mut Vec<EndedJob<P>>,
     ) -> bool {
         let Some(job) =
-            self.jobs.get_mut(key).filter(|j| j.state != State::Released && j.open_prerequisites > 0)
+            self.jobs.get_mut(key).filter(|job| job.state != State::Released && job.open_prerequisites > 0)
         else {
             return false;
         };
@@ -39,7 +39,7 @@
         true
     }
 
-    /// Moves a job on whose prerequisites meet their conditions: it waits for its time, or is ready.
+    /// Advances a job whose prerequisites meet their conditions: it waits for its time, or is ready.
     pub(crate) fn advance(&mut self, key: usize, now: Micros) {
         let job = &mut self.jobs[key];
         if job.state != State::Held || job.open_prerequisites > 0 {
@@ -52,7 +52,8 @@
         }
         job.state = State::Ready;
         job.ready_since = now;
-        let (tenant, class) = (job.tenant, job.class);
+        let tenant = job.tenant;
+        let class = job.class;
         let tenant_state = &mut self.tenants[tenant];
         if tenant_state.queues.len == 0 {
             // It gets no credit for the time in which it had no jobs ready.
--- a/crates/job-dependencies/src/dependencies.rs
+++ b/crates/job-dependencies/src/dependencies.rs
@@ -9,22 +9,22 @@
     Served,
     /// It failed; it did not take effect.
     Failed,
-    /// It was refused.
+    /// It was rejected.
     Refused,
-    /// It may have taken effect: nobody knows. It counts neither as served nor as failed.
+    /// It is unknown whether it took effect. It counts neither as served nor as failed.
     Unknown,
     /// It ended without being released.
     Dropped,
 }
 
-/// The outcome that a job wants of a prerequisite.
+/// The outcome that a job requires of a prerequisite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// Served.
     Served,
     /// Any outcome.
     Ended,
-    /// Failed for certain, refused, or never released.
+    /// Failed for certain, rejected, or never released.
     Failed,
 }
 
@@ -57,17 +57,17 @@
     Fail,
     /// It runs anyway.
     Run,
-    /// It ends, and nobody is told.
+    /// It ends without a notification.
     DropQuietly,
 }
 
-/// What a prerequisite counts as that is no job here and whose outcome is not kept.
+/// How a prerequisite counts that is not listed and whose outcome is not stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnknownPrerequisite {
     /// It does not meet its condition.
     #[default]
     Unmet,
-    /// It may yet be submitted, until the deadline of the job that waits for it.
+    /// It may still be submitted, until the deadline of the job that waits for it.
     Await,
 }
 
@@ -78,8 +78,8 @@
     pub prerequisites: Vec<(JobId, Condition)>,
     /// How many of them must meet their condition.
     pub quorum: Quorum,
-    /// What happens if they cannot.
+    /// What happens if they can't.
     pub on_unmet: OnUnmet,
-    /// What an unknown prerequisite counts as.
+    /// How an unknown prerequisite counts.
     pub unknown: UnknownPrerequisite,
 }
--- a/crates/job-dependencies/src/end.rs
+++ b/crates/job-dependencies/src/end.rs
@@ -1,10 +1,10 @@
-//! Ends of jobs, and the outcomes that are kept of them.
+//! Ends of jobs, and their stored outcomes.
 
 use crate::job::{EndReason, EndedJob, Job, State};
 use crate::{JobId, Micros, OnUnmet, Outcome, Waiting};
 
 impl<P> Waiting<P> {
-    /// Takes in the outcome of a released job; returns the jobs that end because of it.
+    /// Records the outcome of a released job; returns the jobs that end because of it.
     pub fn complete(&mut self, id: JobId, outcome: Outcome, now: Micros) -> Vec<EndedJob<P>> {
         let mut ended = Vec::new();
         let released = self.by_id.get(&id).copied().filter(|k| self.jobs[*k].state == State::Released);
@@ -24,17 +24,17 @@
         ended
     }
 
-    /// Moves on jobs whose time has come; ends jobs that have waited too long, and returns them with the jobs that end
-    /// because of them.
+    /// Advances jobs whose time has come; ends jobs whose deadline has passed, and returns them with the jobs that end because
+    /// of them.
     pub fn tick(&mut self, now: Micros, wall: Micros) -> Vec<EndedJob<P>> {
         let mut ended = Vec::new();
-        while let Some((at, key)) = self.scheduled.first().copied().filter(|t| t.0 <= wall) {
+        while let Some((at, key)) = self.scheduled.first().copied().filter(|(at, _)| *at <= wall) {
             self.scheduled.remove(&(at, key));
             self.jobs[key].not_before = None;
             self.jobs[key].state = State::Held;
             self.advance(key, now);
         }
-        while let Some((_, key)) = self.deadlines.first().copied().filter(|l| l.0 <= now) {
+        while let Some((_, key)) = self.deadlines.first().copied().filter(|(deadline, _)| *deadline <= now) {
             self.end(key, EndReason::Limit, now, &mut ended);
         }
         self.drop_old_outcomes(now);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Removes a job, keeps its outcome, and settles it with the jobs that wait for it.
+    /// Removes a job, stores its outcome, and settles it with the jobs that wait for it.
     fn remove(&mut self, key: usize, outcome: Outcome, now: Micros, ended: &mut Vec<EndedJob<P>>) -> Job<P> {
         let job = self.jobs.remove(key);
         self.by_id.remove(&job.id);
@@ -86,13 +86,14 @@
         job
     }
 
-    /// Takes a job that was not released out of the indexes of its state.
+    /// Removes a job that was not released from the indexes of its state.
     fn leave_state(&mut self, key: usize) {
         let job = &self.jobs[key];
         match job.state {
             State::Scheduled => _ = self.scheduled.remove(&(job.not_before.unwrap_or(0), key)),
             State::Ready => {
-                let (tenant, class) = (job.tenant, job.class);
+                let tenant = job.tenant;
+                let class = job.class;
                 let tenant_state = &mut self.tenants[tenant];
                 tenant_state.queues.remove(class, key, &mut self.links);
                 if tenant_state.queues.len == 0 {
--- a/crates/job-dependencies/src/job.rs
+++ b/crates/job-dependencies/src/job.rs
@@ -15,26 +15,32 @@
     pub not_before: Option<Micros>,
     /// What it waits for.
     pub dependencies: Dependencies,
-    /// When it has waited too long.
+    /// The time until which it may wait for its release.
     pub deadline: Micros,
-    /// What is passed on with it.
+    /// The payload, which is returned with it.
     pub payload: P,
 }
 
 /// Why a job is rejected.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// There is a job of this id.
+    /// There is a job with this id.
+    #[error("there is a job with this id")]
     Duplicate,
     /// There are too many jobs in all.
+    #[error("there are too many jobs")]
     Jobs,
     /// There are too many of this tenant.
+    #[error("there are too many jobs of this tenant")]
     Tenant,
     /// It has too many prerequisites.
+    #[error("it has too many prerequisites")]
     Prerequisites,
     /// Jobs would wait for one another in a cycle: these, in order.
+    #[error("jobs would wait for one another in a cycle: {0:?}")]
     Cycle(Vec<JobId>),
     /// The chain of jobs that wait for one another would be too long.
+    #[error("the chain of jobs that wait for one another would be too long")]
     TooDeep,
 }
 
@@ -43,7 +49,7 @@
 pub enum EndReason {
     /// A prerequisite does not meet its condition: which one, and its outcome (none: it is unknown).
     Prerequisite(JobId, Option<Outcome>),
-    /// It waited too long.
+    /// Its deadline has passed.
     Limit,
     /// It was cancelled.
     Cancelled,
@@ -58,9 +64,9 @@
     pub id: JobId,
     /// Why it ended.
     pub why: EndReason,
-    /// Nobody is to be told, as it asked for.
+    /// Whether it ends without a notification, as its dependencies request.
     pub quietly: bool,
-    /// What it was submitted with.
+    /// The payload of its submission.
     pub payload: P,
 }
 
@@ -75,11 +81,11 @@
     pub class: usize,
     /// Since when its prerequisites meet their conditions and its time has come.
     pub ready_since: Micros,
-    /// What it was submitted with.
+    /// The payload of its submission.
     pub payload: P,
 }
 
-/// Where a job is. [`Waiting::position`](crate::Waiting::position) tells it by number, in this order.
+/// The state of a job. [`Waiting::position`](crate::Waiting::position) returns its number in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
     /// Its time has not come.
--- a/crates/job-dependencies/src/lib.rs
+++ b/crates/job-dependencies/src/lib.rs
@@ -1,11 +1,11 @@
-//! Jobs that are held until their prerequisites have ended as wanted, and then released in an order that is fair and
-//! bounded.
+//! Jobs that are held until their prerequisites meet their conditions, and then released in a fair order with a bounded
+//! wait.
 //!
 //! [`Waiting`] holds a job until its time has come and its prerequisites meet their conditions, then queues it with its
 //! tenant. [`release`](Waiting::release) divides the releases among tenants by their shares (start-time fair
 //! queueing); within a tenant the first class goes first, but one in [`AGEING_INTERVAL`] jobs is the one that has
-//! waited longest. A job that ends without a release is returned once. No I/O, no clock and no random source: `now` is a monotonic clock
-//! in microseconds, `wall` the wall clock, which may step either way.
+//! waited longest. A job that ends without a release is returned once. There is no I/O, no clock and no random source: `now`
+//! is a monotonic clock in microseconds, `wall` the wall clock, which may step either way.
 //!
 //! # The longest wait
 //!
@@ -35,13 +35,13 @@
 /// A job's id, given by the caller; free again once it has ended.
 pub type JobId = u64;
 
-/// One in so many of a tenant's releases is the job that has waited longest, whatever its class.
+/// One in this many of a tenant's releases is the job that has waited longest, whatever its class.
 pub const AGEING_INTERVAL: u32 = 4;
-/// Most prerequisites of one job.
+/// The limit of the prerequisites of one job.
 pub const MAX_PREREQUISITES: usize = 16;
-/// Longest chain of jobs that wait for one another.
+/// The longest chain of jobs that wait for one another.
 pub const MAX_DEPTH: usize = 16;
-/// Most classes.
+/// The limit of the classes.
 pub const MAX_CLASSES: usize = 8;
 
 /// Bounds and shares.
@@ -49,13 +49,13 @@
 pub struct Settings {
     /// The tenants' shares, above 0. A tenant beyond these counts as the last.
     pub shares: Vec<f64>,
-    /// Most jobs, released ones included.
+    /// The limit of the jobs, released ones included.
     pub max_jobs: usize,
-    /// Most jobs of one tenant.
+    /// The limit of the jobs of one tenant.
     pub max_jobs_per_tenant: usize,
-    /// How many outcomes of ended jobs are kept.
+    /// The limit of the stored outcomes of ended jobs.
     pub max_outcomes: usize,
-    /// How long they are kept.
+    /// How long outcomes are stored.
     pub outcome_retention: Micros,
 }
 
@@ -97,10 +97,10 @@
 }
 
 impl<P> Waiting<P> {
-    /// Without jobs.
+    /// An empty list.
     ///
     /// # Panics
-    /// Without shares, or with one that is not above 0.
+    /// If there are no shares, or one is not above 0.
     pub fn new(settings: Settings) -> Waiting<P> {
         assert!(!settings.shares.is_empty() && settings.shares.iter().all(|s| *s > 0.0 && s.is_finite()));
         let tenant = |share: &f64| Tenant {
@@ -129,11 +129,13 @@
     /// Replaces the shares of the same tenants; the order of waiting jobs follows them from now on.
     ///
     /// # Panics
-    /// With other tenants, or a share that is not above 0.
+    /// If the number of tenants differs, or a share is not above 0.
     pub fn set_shares(&mut self, shares: &[f64]) {
         assert_eq!(shares.len(), self.tenants.len());
         assert!(shares.iter().all(|s| *s > 0.0 && s.is_finite()));
-        self.tenants.iter_mut().zip(shares).for_each(|(tenant, share)| tenant.share = *share);
+        for (tenant, share) in self.tenants.iter_mut().zip(shares) {
+            tenant.share = *share;
+        }
         self.settings.shares = shares.to_vec();
     }
 
@@ -151,7 +153,7 @@
         let job = &self.jobs[*self.by_id.get(&id)?];
         Some((job.state as u8, job.open_prerequisites))
     }
-    /// The outcome of a job that has ended, as long as it is kept.
+    /// The outcome of a job that has ended, as long as it is stored.
     pub fn outcome(&self, id: JobId) -> Option<Outcome> {
         self.outcomes.get(&id).copied()
     }
--- a/crates/job-dependencies/src/queues.rs
+++ b/crates/job-dependencies/src/queues.rs
@@ -2,6 +2,7 @@
 
 use crate::MAX_CLASSES;
 
+/// No key.
 const NONE: u32 = u32::MAX;
 
 /// A job's links in two lists: that of its class (0) and that by age (1).
@@ -24,12 +25,14 @@
     }
 }
 
+/// The first and the last key of a list.
 #[derive(Clone, Copy, Debug)]
 struct Ends {
     first: u32,
     last: u32,
 }
 
+/// An empty list.
 const EMPTY: Ends = Ends { first: NONE, last: NONE };
 
 /// The queues of one tenant.
@@ -47,9 +50,11 @@
     }
 }
 
+/// Appends a key to a list.
 fn append(ends: &mut Ends, list: usize, key: u32, links: &mut Links) {
     let link = &mut links.0[key as usize];
-    (link.before[list], link.after[list]) = (ends.last, NONE);
+    link.before[list] = ends.last;
+    link.after[list] = NONE;
     match ends.last {
         NONE => ends.first = key,
         last => links.0[last as usize].after[list] = key,
@@ -57,18 +62,18 @@
     ends.last = key;
 }
 
+/// Removes a key from a list.
 fn unlink(ends: &mut Ends, list: usize, key: u32, links: &mut Links) {
-    let (before, after) = {
-        let link = &links.0[key as usize];
-        (link.before[list], link.after[list])
-    };
+    let link = links.0[key as usize];
+    let before = link.before[list];
+    let after = link.after[list];
     match before {
         NONE => ends.first = after,
-        b => links.0[b as usize].after[list] = after,
+        previous => links.0[previous as usize].after[list] = after,
     }
     match after {
         NONE => ends.last = before,
-        a => links.0[a as usize].before[list] = before,
+        next => links.0[next as usize].before[list] = before,
     }
 }
 
--- a/crates/job-dependencies/src/submit.rs
+++ b/crates/job-dependencies/src/submit.rs
@@ -8,7 +8,7 @@
     /// jobs that end because of it.
     ///
     /// # Errors
-    /// Why it is rejected.
+    /// Why the job is rejected.
     pub fn submit(
         &mut self,
         new: NewJob<P>,
@@ -29,7 +29,7 @@
             return Err(Rejection::Prerequisites);
         }
         self.check_dependencies(&new)?;
-        // The outcome of an earlier job of the same id says nothing of this one.
+        // The outcome of an earlier job with the same id does not count for this one.
         self.outcomes.remove(&new.id);
         let mut dependencies = new.dependencies;
         dependencies.prerequisites.sort_unstable_by_key(|on| on.0);
@@ -47,7 +47,8 @@
             payload: Some(new.payload),
         };
         let prerequisites = job.dependencies.prerequisites.clone();
-        let (deadline, unknown) = (job.deadline, job.dependencies.unknown);
+        let deadline = job.deadline;
+        let unknown = job.dependencies.unknown;
         let key = self.jobs.insert(job);
         self.links.grow(key);
         self.by_id.insert(new.id, key);
@@ -71,7 +72,7 @@
 
     /// Whether the job of an id is still at a key.
     fn is_job(&self, key: usize, id: JobId) -> bool {
-        self.jobs.get(key).is_some_and(|j| j.id == id)
+        self.jobs.get(key).is_some_and(|job| job.id == id)
     }
 
     /// Rejects cycles, and chains that would be too long.
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -26,11 +26,22 @@
     pub requested_at: Micros,
 }
 
+/// An update of the hosts of the decisions.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HostsUpdate {
+    /// Whether the list is complete; else it has only the changed hosts.
+    pub complete: bool,
+    /// The hosts.
+    pub hosts: Vec<Target>,
+    /// The age of the list.
+    pub age: Micros,
+}
+
 /// What follows from an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListAction {
-    /// Update the hosts of the decisions: whether the list is complete, its hosts, and its age.
-    Update(bool, Vec<Target>, Micros),
+    /// Update the hosts of the decisions.
+    Update(HostsUpdate),
     /// Disseminate the new version, with the change that leads to it if there is one.
     Disseminate(Option<Change>),
     /// Pull the missing changes from the member that has them.
@@ -150,7 +161,8 @@
         self.watch = Some(Revision::of(&version));
         let is_new = self.version() != Some(version);
         self.replace(version, hosts, now, now);
-        let mut actions = vec![ListAction::Update(true, update.targets, 0)];
+        let mut actions =
+            vec![ListAction::Update(HostsUpdate { complete: true, hosts: update.targets, age: 0 })];
         if is_new {
             self.clear_history();
             actions.push(ListAction::Disseminate(None));
@@ -187,7 +199,8 @@
         };
         let targets = change.targets.clone();
         self.record_change(change.clone());
-        vec![ListAction::Update(false, targets, 0), ListAction::Disseminate(Some(change))]
+        let hosts_update = HostsUpdate { complete: false, hosts: targets, age: 0 };
+        vec![ListAction::Update(hosts_update), ListAction::Disseminate(Some(change))]
     }
 
     /// Our own watch has been opened; it continues from the current version.
@@ -259,7 +272,8 @@
         }
         let change = Change { from: None, ..change };
         self.record_change(change.clone());
-        vec![ListAction::Update(false, change.targets.clone(), age), ListAction::Disseminate(Some(change))]
+        let hosts_update = HostsUpdate { complete: false, hosts: change.targets.clone(), age };
+        vec![ListAction::Update(hosts_update), ListAction::Disseminate(Some(change))]
     }
 
     /// The response to the pull of a member: the changes since its version, or the complete list.
@@ -306,7 +320,8 @@
         }
         self.replace(after, hosts, now - age, now);
         self.clear_history();
-        vec![ListAction::Update(true, listing.targets, age), ListAction::Disseminate(None)]
+        let hosts_update = HostsUpdate { complete: true, hosts: listing.targets, age };
+        vec![ListAction::Update(hosts_update), ListAction::Disseminate(None)]
     }
 
     fn replace(
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -27,16 +27,16 @@
 use std::sync::Arc;
 use suspicion::Suspect;
 
-/// A change in who is a member.
+/// A change of the members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member came up.
+    /// A member is alive.
     Up(Member),
-    /// A member failed: it is down and has not said that it leaves.
+    /// A member has failed: it is down and has not left.
     Lost(Member),
-    /// A member said that it leaves.
+    /// A member has left.
     Left(Member),
-    /// The others held this member for down; it has rejoined under a later renewal.
+    /// This member counted as down at others; it has rejoined under a later renewal.
     Back(Member),
 }
 
@@ -51,23 +51,32 @@
     pub down: usize,
 }
 
-/// What a call wants sent, and what it found.
+/// The messages to send and the results of a call.
 #[derive(Default)]
 pub struct Output {
     /// SWIM messages, each with its receiver; the caller puts them into packets.
     pub swim: Vec<(SocketAddr, Vec<u8>)>,
     /// Complete datagrams, each with its receiver.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Changes in who is a member.
+    /// Changes of the members.
     pub changes: Vec<Change>,
-    /// Suspects that are to be told of the suspicion, with the incarnation that it is about.
+    /// Suspects that are to be notified of the suspicion, with the suspected incarnation.
     pub suspicions: Vec<(Member, u32)>,
-    /// Messages refused because they name more members than there is room for.
+    /// Messages rejected because they name more members than there is capacity for.
     pub refused: u64,
 }
 
 type Swim = Foca<Member, Codec, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
+/// A time in which this process did not run.
+#[derive(Clone, Copy)]
+struct Stall {
+    /// When it was detected.
+    at: Micros,
+    /// Its length, or that of a recent longer one.
+    length: Micros,
+}
+
 /// The members of the cluster as one of them sees them.
 pub struct Membership {
     foca: Swim,
@@ -79,8 +88,7 @@
     timer_sequence: u64,
     /// Time that passed while this process was stopped or starved.
     stalled: Micros,
-    /// When it was last found to have stalled, and for how long.
-    latest_stall: Option<(Micros, Micros)>,
+    latest_stall: Option<Stall>,
     health: LocalHealth,
     seeds: Seeds,
     max_members: usize,
@@ -89,14 +97,14 @@
     has_left: bool,
     /// Suspects by address.
     suspects: BTreeMap<SocketAddr, Suspect>,
-    /// A probe of our own is being concluded: a suspicion that begins now is ours, not one that we heard of.
+    /// Whether a probe of our own is being concluded: a suspicion that begins now is ours, not one from gossip.
     concluding_probe: bool,
 }
 
 impl Membership {
     /// A cluster of this member alone.
     ///
-    /// `seeds` are asked for the other members; at most `max_members` others are known at a time.
+    /// `seeds` are the addresses through which it joins; at most `max_members` others are known at a time.
     pub fn new(
         me: Member,
         seeds: Vec<SocketAddr>,
@@ -182,18 +190,15 @@
         timer.min(seed).min(self.health.checked_at + HEALTH_PERIOD)
     }
 
-    /// Fires the timers that are due. Packets that wait in the socket are to be read before.
+    /// Fires the timers that are due. Packets in the receive buffer must be handled before.
     pub fn tick(&mut self, now: Micros, out: &mut Output) {
         if let Some(Reverse((at, ..))) = self.timers.peek() {
             let late = now - (at + self.stalled) - STALL_THRESHOLD;
             if late > 0 {
                 // The process was stopped or starved: none of its timers runs through that time.
                 self.stalled += late;
-                let before = self
-                    .latest_stall
-                    .filter(|(at, _)| now - at < STALL_COUNTS_FOR)
-                    .map_or(0, |stall| stall.1);
-                self.latest_stall = Some((now, late.max(before)));
+                let length = late.max(self.recent_stall(now));
+                self.latest_stall = Some(Stall { at: now, length });
             }
         }
         self.update_local_health(now);
@@ -216,12 +221,18 @@
         self.contact_seeds(now, out);
     }
 
+    /// The length of the latest stall, if it is recent; else 0.
+    fn recent_stall(&self, now: Micros) -> Micros {
+        let recent = self.latest_stall.filter(|stall| now - stall.at < STALL_COUNTS_FOR);
+        recent.map_or(0, |stall| stall.length)
+    }
+
     /// Whether this member has left the cluster.
     pub fn has_left(&self) -> bool {
         self.has_left
     }
 
-    /// Calls foca, and takes in the packets, timers and changes that result; false on an error of foca.
+    /// Calls foca, and applies the resulting packets, timers and changes; false on an error of foca.
     fn drive<E>(
         &mut self,
         now: Micros,
@@ -229,7 +240,8 @@
         call: impl FnOnce(&mut Swim, &mut Collected) -> Result<(), E>,
     ) -> bool {
         let mut collected = Collected::new(self.observed.clone());
-        let (done, own_suspicion) = (call(&mut self.foca, &mut collected).is_ok(), self.concluding_probe);
+        let done = call(&mut self.foca, &mut collected).is_ok();
+        let own_suspicion = self.concluding_probe;
         let running_time = now - self.stalled;
         for (timer, after) in collected.timers {
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
@@ -252,7 +264,7 @@
             out.swim.push((to.address, swim));
         }
         if collected.notified {
-            self.live = self.foca.iter_members().map(|m| m.id().clone()).collect();
+            self.live = self.foca.iter_members().map(|member| member.id().clone()).collect();
         }
         out.changes.extend(collected.changes);
         done
--- a/crates/peers/src/membership/collect.rs
+++ b/crates/peers/src/membership/collect.rs
@@ -1,4 +1,4 @@
-//! What foca wants done in one call: packets, timers and changes of membership.
+//! The results of one call of foca: packets, timers and changes of membership.
 
 use super::Change;
 use crate::codec::{Observed, PROBE_KINDS};
@@ -16,7 +16,7 @@
     /// Timers, each with its delay.
     pub timers: Vec<(Timer<Member>, Duration)>,
     pub changes: Vec<Change>,
-    /// foca reported something: the live members may have changed.
+    /// Whether foca has reported a change: the live members may have changed.
     pub notified: bool,
     observed: Arc<Observed>,
 }
--- a/crates/peers/src/membership/health.rs
+++ b/crates/peers/src/membership/health.rs
@@ -1,22 +1,24 @@
-//! Local health (Lifeguard): how much this member's own suspicion is worth, by its probes and its stalls.
+//! Local health (Lifeguard): how reliable this member's own suspicions are, by its probes and its stalls.
 
 use super::Membership;
 use super::parameters::*;
 use crate::Micros;
 use std::sync::atomic::Ordering;
 
-/// How well this member hears the others.
+/// How reliably this member receives packets of the others.
 pub(super) struct LocalHealth {
-    /// Moving average of the share of probes without an acknowledgement.
+    /// Moving average of the fraction of probes without an acknowledgement.
     pub probe_loss: f64,
-    /// Share of single packets lost one way, as it follows from `probe_loss`.
+    /// The fraction of single packets that are lost one way, derived from `probe_loss`.
     pub packet_loss: f64,
     /// How many copies of a probe's packets are sent.
     pub probe_copies: usize,
-    /// When these figures were last brought up to date.
+    /// When these figures were last updated.
     pub checked_at: Micros,
-    /// Running totals of probes sent and acknowledged that these figures take in.
-    pub counted_probes: (u32, u32),
+    /// The total of probes sent that these figures include.
+    pub counted_pings: u32,
+    /// The total of acknowledgements that these figures include.
+    pub counted_acks: u32,
     /// How long a suspect has to refute before it is down.
     pub suspicion_timeout: Micros,
 }
@@ -28,19 +30,21 @@
             packet_loss: INITIAL_LOSS,
             probe_copies: COPIES_FROM_LOSS.len(),
             checked_at: now,
-            counted_probes: (0, 0),
+            counted_pings: 0,
+            counted_acks: 0,
             suspicion_timeout: SUSPICION_RANGE[0],
         }
     }
 
-    /// Takes in the probes since the last time, by the running totals of probes sent and acknowledged.
+    /// Adds the probes since the last update, by the totals of probes sent and acknowledged.
     fn count_probes(&mut self, pings: u32, acks: u32) {
-        let (sent, acknowledged) =
-            (pings.wrapping_sub(self.counted_probes.0), acks.wrapping_sub(self.counted_probes.1));
+        let sent = pings.wrapping_sub(self.counted_pings);
+        let acknowledged = acks.wrapping_sub(self.counted_acks);
         if sent == 0 {
             return;
         }
-        self.counted_probes = (pings, acks);
+        self.counted_pings = pings;
+        self.counted_acks = acks;
         let loss = 1.0 - (f64::from(acknowledged) / f64::from(sent)).min(1.0);
         self.probe_loss += LOSS_WEIGHT * (loss - self.probe_loss);
         // A probe and its acknowledgement are two ways, and a way is lost with all of its copies.
@@ -49,7 +53,7 @@
         self.probe_copies = COPIES_FROM_LOSS.iter().filter(|from| self.packet_loss >= **from).count();
     }
 
-    /// The suspicion timeout that goes with these figures and a recent stall of so long.
+    /// The suspicion timeout for these figures and a recent stall of this length.
     fn wanted_suspicion_timeout(&self, stall: Micros) -> Micros {
         let loss = self.packet_loss.max(self.probe_loss);
         let wanted = (SUSPICION_RANGE[0] as f64 * (1.0 + SUSPICION_STRETCH * loss)) as Micros + 2 * stall;
@@ -58,8 +62,9 @@
 }
 
 impl Membership {
-    /// Takes in the probes and stalls since the last time, and sets the suspicion timeout by them.
+    /// Adds the probes and stalls since the last update, and sets the suspicion timeout by them.
     pub(super) fn update_local_health(&mut self, now: Micros) {
+        let stall = self.recent_stall(now);
         let health = &mut self.health;
         if now - health.checked_at < HEALTH_PERIOD {
             return;
@@ -69,8 +74,6 @@
             self.observed.pings.load(Ordering::Relaxed),
             self.observed.acks.load(Ordering::Relaxed),
         );
-        let stall =
-            self.latest_stall.filter(|(at, _)| now - at < STALL_COUNTS_FOR).map_or(0, |stall| stall.1);
         let wanted = health.wanted_suspicion_timeout(stall);
         if (wanted - health.suspicion_timeout).abs() * 10 > health.suspicion_timeout
             && self.foca.set_config(foca_config(wanted)).is_ok()
--- a/crates/peers/src/membership/states.rs
+++ b/crates/peers/src/membership/states.rs
@@ -1,4 +1,4 @@
-//! Member states that come in from other members, and those that go out to them.
+//! Member states that are received from other members, and those that are sent to them.
 
 use super::parameters::MAX_NAMED;
 use super::{Change, Membership, Output};
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 
 impl Membership {
-    /// Takes in a SWIM message; false if it was dropped.
+    /// Handles a SWIM message; false if it was dropped.
     pub fn receive_swim(&mut self, now: Micros, swim: &[u8], out: &mut Output) -> bool {
         if self.has_left {
             return true;
@@ -36,7 +36,7 @@
         known + new <= self.max_members
     }
 
-    /// If another member knows a later generation of our own address (the wall clock was set back since), goes beyond
+    /// If another member knows a later generation of our own address (the wall clock was set back since), takes one beyond
     /// it.
     fn supersede_later_generation(&mut self, now: Micros, out: &mut Output) {
         let seen = self.observed.generation.load(Ordering::Relaxed);
@@ -54,7 +54,7 @@
         wire::Members { states: states.map(codec::state_to_wire).collect() }
     }
 
-    /// Takes in all member states that another member knows.
+    /// Merges all member states that another member knows.
     pub fn merge_states(&mut self, now: Micros, members: &wire::Members, out: &mut Output) {
         if members.states.len() > self.max_members || self.has_left {
             out.refused += 1;
@@ -89,12 +89,12 @@
         self.drive(now, out, |foca, collected| foca.apply_many([state].into_iter(), true, collected));
     }
 
-    /// A member has said that it leaves.
+    /// A member has left.
     pub fn member_left(&mut self, now: Micros, who: &Member, out: &mut Output) {
         let known = |m: &foca::Member<Member>| (m.id() == who).then(|| m.state());
         match self.foca.iter_membership_state().find_map(known) {
             None => return,
-            // Gossip of its end came before its own message.
+            // Gossip that it is down arrived before its own message.
             Some(State::Down) => return out.changes.push(Change::Left(who.clone())),
             Some(_) => {}
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Leaves the cluster: tells every live member, and sends nothing afterwards.
+    /// Leaves the cluster: notifies every live member, and sends nothing afterwards.
     pub fn leave(&mut self, now: Micros, cluster: u64, out: &mut Output) {
         if self.has_left {
             return;
--- a/crates/peers/src/membership/suspicion.rs
+++ b/crates/peers/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspects: the last call before one is held for down, and the refutation of a suspicion of ourselves.
+//! Suspects: the last probe before one counts as down, and the refutation of a suspicion of ourselves.
 
 use super::parameters::LAST_CALL_TIMEOUT;
 use super::{Membership, Output};
@@ -12,15 +12,15 @@
 /// A member under suspicion.
 pub(super) struct Suspect {
     since: Micros,
-    /// When we made our last call.
-    called: Option<Micros>,
-    /// It was heard after that.
+    /// When we sent our last probe.
+    probed_at: Option<Micros>,
+    /// Whether it was heard after that.
     heard: bool,
 }
 
 impl Suspect {
     pub fn since(now: Micros) -> Suspect {
-        Suspect { since: now, called: None, heard: false }
+        Suspect { since: now, probed_at: None, heard: false }
     }
 }
 
@@ -30,10 +30,10 @@
         self.suspects.entry(at).and_modify(|s| s.heard = true);
     }
 
-    /// Puts off, or calls off, the end of a suspicion.
+    /// Defers or cancels the end of a suspicion.
     ///
     /// None: the suspect goes down (or the timer is another one). `Some(Some(at))`: the timer is to fire again then.
-    /// `Some(None)`: the suspicion was refuted. Before a suspect goes down, this member makes a last call of its own,
+    /// `Some(None)`: the suspicion was refuted. Before a suspect goes down, this member sends a last probe of its own,
     /// and waits as long as its local health by then demands.
     pub(super) fn defer_down(
         &mut self,
@@ -45,8 +45,8 @@
         let still_suspect = |m: &foca::Member<Member>| {
             m.id() == member_id && m.incarnation() == *incarnation && m.state() == State::Suspect
         };
-        // foca would tell a suspect that has refuted all the same that it is down (seen in the simulation: each refuted
-        // suspicion made the suspect rejoin under a new renewal).
+        // foca would notify also a suspect that has refuted that it is down (seen in the simulation: each refuted suspicion
+        // made the suspect rejoin under a new renewal).
         if !self.foca.iter_membership_state().any(still_suspect) {
             self.suspects.remove(&member_id.address);
             return Some(None);
@@ -56,12 +56,13 @@
         if ends > now {
             return Some(Some(ends));
         }
-        if suspect.called.is_none_or(|_| suspect.heard) {
-            // A member that we hear is alive, whatever others say; it has yet to refute.
-            if suspect.called.is_some() {
+        if suspect.probed_at.is_none_or(|_| suspect.heard) {
+            // A member that we hear is alive, whatever others report; it has yet to refute.
+            if suspect.probed_at.is_some() {
                 suspect.since = now;
             }
-            (suspect.called, suspect.heard) = (Some(now), false);
+            suspect.probed_at = Some(now);
+            suspect.heard = false;
             out.suspicions.push((member_id.clone(), u32::from(*incarnation)));
             return Some(Some(now + LAST_CALL_TIMEOUT));
         }
@@ -69,11 +70,13 @@
         None
     }
 
-    /// Another member suspects us: refutes with a new incarnation, and tells that member first.
-    pub fn refute_suspicion(&mut self, now: Micros, word: &wire::Suspected, out: &mut Output) {
-        let by = word.by.as_ref().and_then(Member::from_wire);
-        let of = word.member.as_ref().and_then(Member::from_wire).filter(|m| m == self.me());
-        let (Some(by), Some(me), Ok(incarnation)) = (by, of, u16::try_from(word.incarnation)) else { return };
+    /// Another member suspects us: refutes with a new incarnation, and notifies that member first.
+    pub fn refute_suspicion(&mut self, now: Micros, suspected: &wire::Suspected, out: &mut Output) {
+        let by = suspected.by.as_ref().and_then(Member::from_wire);
+        let of = suspected.member.as_ref().and_then(Member::from_wire).filter(|m| m == self.me());
+        let (Some(by), Some(me), Ok(incarnation)) = (by, of, u16::try_from(suspected.incarnation)) else {
+            return;
+        };
         if self.has_left {
             return;
         }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -8,7 +8,9 @@
 mod suspicion;
 mod watch;
 
-pub use api::{Action, Event, Figures, Settings, Standing, WatchMode};
+pub use api::{
+    Action, DatagramCount, Event, Figures, HostListStatus, Incarnation, Settings, Standing, WatchMode,
+};
 
 use crate::codec;
 use crate::lists::Lists;
@@ -33,6 +35,13 @@
 /// How often the watch mode and the number of dispatchers are reviewed.
 const REVIEW_PERIOD: Micros = SECOND / 10;
 
+/// A pull of the host list.
+#[derive(Clone, Copy)]
+struct PullInFlight {
+    to: SocketAddr,
+    sent_at: Micros,
+}
+
 /// One dispatcher among its peers.
 pub struct Peers {
     settings: Settings,
@@ -52,8 +61,8 @@
     next_election: Micros,
     watch_mode: WatchMode,
     fleet: Fleet,
-    /// The member that a pull of the host list was sent to, and when.
-    pull_in_flight: Option<(SocketAddr, Micros)>,
+    /// The latest pull of the host list, until its response.
+    pull_in_flight: Option<PullInFlight>,
     relayed_suspicions: Vec<RelayedSuspicion>,
     figures: Figures,
 }
@@ -61,7 +70,8 @@
 impl Peers {
     /// A dispatcher that has not seen any peers yet.
     pub fn new(settings: Settings, random_seed: u64, now: Micros) -> Peers {
-        let (me, seeds) = (settings.me.clone(), settings.seeds.clone());
+        let me = settings.me.clone();
+        let seeds = settings.seeds.clone();
         Peers {
             cluster_hash: codec::cluster_hash(&settings.cluster),
             membership: Membership::new(me, seeds, settings.max_members, random_seed, now),
@@ -93,7 +103,8 @@
     pub fn reconfigure(&mut self, new: Settings) {
         self.membership.set_seeds(new.seeds.clone());
         self.member_count.configure(new.configured, new.longest_partition);
-        let (me, cluster) = (self.settings.me.clone(), self.settings.cluster.clone());
+        let me = self.settings.me.clone();
+        let cluster = self.settings.cluster.clone();
         self.settings = Settings { me, cluster, ..new };
     }
 
@@ -195,7 +206,7 @@
         }
     }
 
-    /// Leaves the cluster: tells every live member, and sends nothing afterwards.
+    /// Leaves the cluster: notifies every live member, and sends nothing afterwards.
     pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut out = membership::Output::default();
         self.membership.leave(now, self.cluster_hash, &mut out);
--- a/crates/peers/src/peers/api.rs
+++ b/crates/peers/src/peers/api.rs
@@ -1,11 +1,11 @@
 //! The settings, events, actions and figures of [`Peers`](super::Peers).
 
 use crate::Micros;
-use crate::lists::{ListUpdate, ReloadReason};
+use crate::lists::{HostsUpdate, ListUpdate, ReloadReason};
 use crate::member::Member;
 use crate::member_count::Fleet;
 use crate::membership;
-use crate::wire::Target;
+use crate::wire::Version;
 use std::net::SocketAddr;
 
 /// The settings of an installation.
@@ -65,8 +65,8 @@
     Send(SocketAddr, Vec<u8>),
     /// Send a request over TCP: one frame, which is answered by one frame.
     Request(SocketAddr, Vec<u8>),
-    /// Update the hosts of the decisions: whether the list is complete, its hosts, and its age.
-    UpdateHosts(bool, Vec<Target>, Micros),
+    /// Update the hosts of the decisions.
+    UpdateHosts(HostsUpdate),
     /// Open or close the watch at the discovery service.
     Watch(WatchMode),
     /// Close the open watch, and request the complete list.
@@ -77,15 +77,56 @@
     MemberChanged(membership::Change),
 }
 
+/// A count of datagrams.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DatagramCount {
+    /// Their number.
+    pub packets: u64,
+    /// Their bytes.
+    pub bytes: u64,
+}
+
+impl DatagramCount {
+    /// Adds a datagram.
+    pub(super) fn add(&mut self, datagram: &[u8]) {
+        self.packets += 1;
+        self.bytes += datagram.len() as u64;
+    }
+}
+
+/// The host list of a member, for operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HostListStatus {
+    /// Its version.
+    pub version: Version,
+    /// The number of hosts.
+    pub hosts: usize,
+    /// Its age.
+    pub age: Micros,
+}
+
+/// The identity under which a member is known: it only increases.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Incarnation {
+    /// When its process started, in milliseconds since 1970.
+    pub generation: u64,
+    /// How often it has renewed its identity in this generation.
+    pub renewal: u32,
+    /// The SWIM incarnation of this identity.
+    pub incarnation: u16,
+}
+
 /// Counters for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Datagrams received, and their bytes.
-    pub received: (u64, u64),
-    /// Requests sent, and those of them without a response.
-    pub requests: (u64, u64),
+    /// Datagrams sent.
+    pub sent: DatagramCount,
+    /// Datagrams received.
+    pub received: DatagramCount,
+    /// Requests sent over TCP.
+    pub requests: u64,
+    /// Requests without a response in time.
+    pub requests_failed: u64,
     /// Dropped: malformed, of another format, of another cluster, naming too many members.
     pub dropped: [u64; 4],
     /// Versions that were seen with different hosts, after which the complete list was requested.
--- a/crates/peers/src/peers/host_list.rs
+++ b/crates/peers/src/peers/host_list.rs
@@ -1,7 +1,7 @@
 //! The host list among the peers: changes by gossip, and anti-entropy by digests with a pull of what is missing.
 
 use super::api::Action;
-use super::{Peers, REQUEST_TIMEOUT};
+use super::{Peers, PullInFlight, REQUEST_TIMEOUT};
 use crate::Micros;
 use crate::codec::{self, MAX_DATAGRAM};
 use crate::lists::{ListAction, ReloadReason};
@@ -89,18 +89,15 @@
     ) {
         for list_action in list_actions {
             match list_action {
-                ListAction::Update(complete, targets, age) => {
+                ListAction::Update(update) => {
                     self.figures.versions += 1;
-                    self.figures.age = age;
-                    actions.push(Action::UpdateHosts(complete, targets, age));
+                    self.figures.age = update.age;
+                    actions.push(Action::UpdateHosts(update));
                 }
                 ListAction::Disseminate(change) => self.disseminate(now, change, actions),
                 ListAction::Pull => {
-                    let may_pull = self.pull_in_flight.is_none_or(|(_, at)| now - at > REQUEST_TIMEOUT);
-                    if let Some(from) = from.filter(|_| may_pull) {
-                        self.pull_in_flight = Some((from.address, now));
-                        let version = self.lists.version().unwrap_or_default();
-                        self.request(from.address, FrameBody::Pull(version), actions);
+                    if let Some(from) = from {
+                        self.pull(now, from, actions);
                     }
                 }
                 ListAction::Reload(why) => {
@@ -111,6 +108,16 @@
         }
     }
 
+    /// Pulls the list from a member, unless a pull is in flight.
+    fn pull(&mut self, now: Micros, from: &Member, actions: &mut Vec<Action>) {
+        if self.pull_in_flight.is_some_and(|pull| now - pull.sent_at <= REQUEST_TIMEOUT) {
+            return;
+        }
+        self.pull_in_flight = Some(PullInFlight { to: from.address, sent_at: now });
+        let version = self.lists.version().unwrap_or_default();
+        self.request(from.address, FrameBody::Pull(version), actions);
+    }
+
     /// Sends a change to some members; without one, or with one too long for a datagram, a digest.
     pub(super) fn disseminate(&mut self, now: Micros, change: Option<Change>, actions: &mut Vec<Action>) {
         let receivers = self.membership.sample(CHANGE_FANOUT);
--- a/crates/peers/src/peers/receive.rs
+++ b/crates/peers/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams, requests and responses that come in, and those that go out.
+//! Datagrams, requests and responses: received and sent ones.
 
 use super::Peers;
 use super::api::Action;
@@ -12,14 +12,13 @@
 impl Peers {
     /// Sends a datagram.
     pub(super) fn send(&mut self, to: SocketAddr, packet: Vec<u8>, actions: &mut Vec<Action>) {
-        self.figures.sent.0 += 1;
-        self.figures.sent.1 += packet.len() as u64;
+        self.figures.sent.add(&packet);
         actions.push(Action::Send(to, packet));
     }
 
     /// Sends a request over TCP.
     pub(super) fn request(&mut self, to: SocketAddr, body: FrameBody, actions: &mut Vec<Action>) {
-        self.figures.requests.0 += 1;
+        self.figures.requests += 1;
         actions.push(Action::Request(to, codec::encode_frame(self.cluster_hash, self.membership.me(), body)));
     }
 
@@ -32,7 +31,7 @@
         self.figures.dropped[index] += 1;
     }
 
-    /// Takes in a datagram.
+    /// Handles a datagram.
     pub(super) fn receive_datagram(
         &mut self,
         now: Micros,
@@ -40,8 +39,7 @@
         out: &mut membership::Output,
         actions: &mut Vec<Action>,
     ) {
-        self.figures.received.0 += 1;
-        self.figures.received.1 += bytes.len() as u64;
+        self.figures.received.add(bytes);
         let body = match codec::decode_packet(self.cluster_hash, bytes) {
             Ok(body) => body,
             Err(why) => return self.count_rejected(why),
@@ -80,7 +78,7 @@
         }
     }
 
-    /// Takes in the response to a request of ours; none: there was none in time.
+    /// Handles the response to a request of ours; none after a time-out.
     pub(super) fn receive_response(
         &mut self,
         now: Micros,
@@ -89,11 +87,11 @@
         out: &mut membership::Output,
         actions: &mut Vec<Action>,
     ) {
-        if self.pull_in_flight.is_some_and(|pull| pull.0 == from) {
+        if self.pull_in_flight.is_some_and(|pull| pull.to == from) {
             self.pull_in_flight = None;
         }
         let Some(bytes) = response else {
-            self.figures.requests.1 += 1;
+            self.figures.requests_failed += 1;
             return;
         };
         match codec::decode_frame(self.cluster_hash, bytes) {
--- a/crates/peers/src/peers/status.rs
+++ b/crates/peers/src/peers/status.rs
@@ -1,11 +1,10 @@
 //! The state of one dispatcher among its peers, for operators and for the caller.
 
-use super::{Figures, Peers, Standing, WatchMode};
+use super::{Figures, HostListStatus, Incarnation, Peers, Standing, WatchMode};
 use crate::Micros;
 use crate::member::Member;
 use crate::member_count::Fleet;
 use crate::membership::Counts;
-use crate::wire::Version;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -25,9 +24,13 @@
         &self.figures
     }
 
-    /// The version of the host list, its number of hosts, and its age.
-    pub fn list(&self, now: Micros) -> Option<(Version, usize, Micros)> {
-        Some((self.lists.version()?, self.lists.hosts(), self.lists.age(now)?))
+    /// The host list, if there is one.
+    pub fn list(&self, now: Micros) -> Option<HostListStatus> {
+        Some(HostListStatus {
+            version: self.lists.version()?,
+            hosts: self.lists.hosts(),
+            age: self.lists.age(now)?,
+        })
     }
 
     /// The fleet that the decisions were last notified of.
@@ -85,9 +88,17 @@
         all
     }
 
-    /// The generation, renewal and incarnation in which each other member that is not down is known.
-    pub fn incarnations(&self) -> impl Iterator<Item = (SocketAddr, (u64, u32, u16))> {
-        let up = self.membership.states().filter(|m| m.state() != foca::State::Down);
-        up.map(|m| (m.id().address, (m.id().generation, m.id().renewal, m.incarnation())))
+    /// The incarnation under which each other member that is not down is known, by its address.
+    pub fn incarnations(&self) -> impl Iterator<Item = (SocketAddr, Incarnation)> {
+        let up = self.membership.states().filter(|state| state.state() != foca::State::Down);
+        up.map(|state| {
+            let member = state.id();
+            let incarnation = Incarnation {
+                generation: member.generation,
+                renewal: member.renewal,
+                incarnation: state.incarnation(),
+            };
+            (member.address, incarnation)
+        })
     }
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,8 +1,8 @@
-//! What members say to one another, as in `proto/peers.proto`.
+//! The messages between members, as in `proto/peers.proto`.
 
 use prost::{Message, Oneof};
 
-/// The format of packets and frames; what has another is dropped.
+/// The format of packets and frames; those of another format are dropped.
 pub const FORMAT: u32 = 1;
 
 /// A datagram.
@@ -14,18 +14,18 @@
     /// A hash of the cluster's name.
     #[prost(fixed64, tag = "2")]
     pub cluster: u64,
-    /// What it says.
+    /// Its content.
     #[prost(oneof = "PacketBody", tags = "3, 4, 5, 6, 7, 8")]
     pub body: Option<PacketBody>,
 }
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PacketBody {
-    /// Of the membership library.
+    /// A message of the membership library.
     #[prost(bytes = "vec", tag = "3")]
     Swim(Vec<u8>),
-    /// What its sender has.
+    /// The version and the watchers that its sender knows.
     #[prost(message, tag = "4")]
     Digest(Digest),
     /// A change of the list.
@@ -57,33 +57,33 @@
     /// When its process started, in milliseconds since 1970.
     #[prost(fixed64, tag = "4")]
     pub generation: u64,
-    /// How often it renewed itself.
+    /// How often it has renewed its identity.
     #[prost(uint32, tag = "5")]
     pub renewal: u32,
     /// Its zone.
     #[prost(string, tag = "6")]
     pub zone: String,
-    /// The number that it was told.
+    /// Its configured number.
     #[prost(uint32, tag = "7")]
     pub number: u32,
 }
 
-/// The head of a packet of the membership library.
+/// The header of a packet of the membership library.
 #[derive(Clone, PartialEq, Message)]
 pub struct Header {
-    /// Who sends it.
+    /// The sender.
     #[prost(message, optional, tag = "1")]
     pub source: Option<Identity>,
     /// Its incarnation.
     #[prost(uint32, tag = "2")]
     pub incarnation: u32,
-    /// To whom.
+    /// The receiver.
     #[prost(message, optional, tag = "3")]
     pub destination: Option<Identity>,
-    /// What it is.
+    /// The kind of the message.
     #[prost(uint32, tag = "4")]
     pub kind: u32,
-    /// Whom it is about.
+    /// The member that it is about.
     #[prost(message, optional, tag = "5")]
     pub about: Option<Identity>,
     /// The probe that it belongs to.
@@ -91,7 +91,7 @@
     pub probe: u32,
 }
 
-/// How a member stands.
+/// The state of a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberState {
     /// The member.
@@ -117,7 +117,7 @@
     /// In this incarnation.
     #[prost(uint32, tag = "3")]
     pub incarnation: u32,
-    /// Its receiver is to pass it on to whom it is about.
+    /// Whether its receiver is to relay it to the suspect.
     #[prost(bool, tag = "4")]
     pub through: bool,
 }
@@ -125,47 +125,47 @@
 /// A version of the host list.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Version {
-    /// One more with each service that began again; from 1 on.
+    /// Incremented with each restart of the service; from 1 on.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
-    /// As the service tells it.
+    /// The revision of the service.
     #[prost(uint64, tag = "2")]
     pub rev: u64,
-    /// The sum of the hashes of its lines.
+    /// The sum of the hashes of its hosts.
     #[prost(fixed64, tag = "3")]
     pub digest: u64,
 }
 
-/// What a member has, and who keeps the watch.
+/// The version of a member's list, and the watchers that it knows.
 #[derive(Clone, PartialEq, Message)]
 pub struct Digest {
     /// The sender.
     #[prost(message, optional, tag = "1")]
     pub from: Option<Identity>,
-    /// What it has; none: no list.
+    /// Its version; none without a list.
     #[prost(message, optional, tag = "2")]
     pub version: Option<Version>,
-    /// Microseconds since an asker's service last spoke.
+    /// The age of the list: microseconds since a watcher last heard the service.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
-    /// Who keeps the watch.
+    /// The watchers.
     #[prost(message, repeated, tag = "4")]
     pub askers: Vec<Asker>,
-    /// It answers one of these.
+    /// Whether it answers another digest.
     #[prost(bool, tag = "5")]
     pub answer: bool,
 }
 
-/// Who keeps the watch at the list service, or fails to.
+/// A member that watches the discovery service, or fails to.
 #[derive(Clone, PartialEq, Message)]
 pub struct Asker {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its watch is open; else its calls fail.
+    /// Whether its watch is open; else its requests fail.
     #[prost(bool, tag = "2")]
     pub open: bool,
-    /// Microseconds since it said so.
+    /// Microseconds since its report.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
 }
@@ -176,7 +176,7 @@
     /// Its name.
     #[prost(string, tag = "1")]
     pub uid: String,
-    /// Where it is.
+    /// Its address.
     #[prost(string, tag = "2")]
     pub endpoint: String,
     /// Its zone.
@@ -191,7 +191,7 @@
     /// 1 ready, 2 draining, 3 gone.
     #[prost(uint32, tag = "6")]
     pub state: u32,
-    /// A figure to compare it by.
+    /// Its relative capacity.
     #[prost(double, tag = "7")]
     pub capacity_hint: f64,
     /// When its process started, in milliseconds since 1970; 0: long ago.
@@ -199,44 +199,44 @@
     pub boot_ms: f64,
 }
 
-/// What follows on a version.
+/// The changes from one version to another.
 #[derive(Clone, PartialEq, Message)]
 pub struct Change {
     /// The sender.
     #[prost(message, optional, tag = "1")]
     pub from: Option<Identity>,
-    /// What it follows on.
+    /// The version before.
     #[prost(message, optional, tag = "2")]
     pub before: Option<Version>,
-    /// What it leads to.
+    /// The version after.
     #[prost(message, optional, tag = "3")]
     pub after: Option<Version>,
-    /// Microseconds since an asker's service last spoke.
+    /// The age of the list: microseconds since a watcher last heard the service.
     #[prost(uint64, tag = "4")]
     pub age_us: u64,
-    /// What changed.
+    /// The changed hosts.
     #[prost(message, repeated, tag = "5")]
     pub targets: Vec<Target>,
 }
 
-/// A list, or what follows on the version that was asked from.
+/// A complete list, or the changes since the version of a pull.
 #[derive(Clone, PartialEq, Message)]
 pub struct Listing {
-    /// What it follows on; none: it is complete.
+    /// The version before the changes; none for a complete list.
     #[prost(message, optional, tag = "1")]
     pub before: Option<Version>,
-    /// What it leads to.
+    /// The version after.
     #[prost(message, optional, tag = "2")]
     pub after: Option<Version>,
-    /// Microseconds since an asker's service last spoke.
+    /// The age of the list: microseconds since a watcher last heard the service.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
-    /// Its lines.
+    /// Its hosts.
     #[prost(message, repeated, tag = "4")]
     pub targets: Vec<Target>,
 }
 
-/// A question or an answer over TCP.
+/// A request or a response over TCP.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
     /// [`FORMAT`].
@@ -248,24 +248,24 @@
     /// The sender.
     #[prost(message, optional, tag = "3")]
     pub from: Option<Identity>,
-    /// What it says.
+    /// Its content.
     #[prost(oneof = "FrameBody", tags = "4, 5, 6, 7")]
     pub body: Option<FrameBody>,
 }
 
-/// What a frame says.
+/// The content of a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum FrameBody {
-    /// All members that the sender knows; the same comes back.
+    /// All members that the sender knows; the response has those of the receiver.
     #[prost(message, tag = "4")]
     Members(Members),
-    /// Asks for what follows on this; generation 0: for all.
+    /// Pulls the changes since this version; with generation 0 the complete list.
     #[prost(message, tag = "5")]
     Pull(Version),
     /// A list.
     #[prost(message, tag = "6")]
     Listing(Listing),
-    /// Nothing to say.
+    /// Nothing: the request cannot be answered otherwise.
     #[prost(message, tag = "7")]
     Nothing(Nothing),
 }
@@ -273,7 +273,7 @@
 /// Members.
 #[derive(Clone, PartialEq, Message)]
 pub struct Members {
-    /// How each stands.
+    /// The state of each.
     #[prost(message, repeated, tag = "1")]
     pub states: Vec<MemberState>,
 }
