--- a/crates/peers/src/peers/receive.rs
+++ b/crates/peers/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams, requests and responses that come in, and those that go out.
+//! Datagrams, requests and responses: received and sent ones.
 
 use super::Peers;
 use super::api::Action;
@@ -12,14 +12,13 @@
 impl Peers {
     /// Sends a datagram.
     pub(super) fn send(&mut self, to: SocketAddr, packet: Vec<u8>, actions: &mut Vec<Action>) {
-        self.figures.sent.0 += 1;
-        self.figures.sent.1 += packet.len() as u64;
+        self.figures.sent.add(&packet);
         actions.push(Action::Send(to, packet));
     }
 
     /// Sends a request over TCP.
     pub(super) fn request(&mut self, to: SocketAddr, body: FrameBody, actions: &mut Vec<Action>) {
-        self.figures.requests.0 += 1;
+        self.figures.requests += 1;
         actions.push(Action::Request(to, codec::encode_frame(self.cluster_hash, self.membership.me(), body)));
     }
 
@@ -32,7 +31,7 @@
         self.figures.dropped[index] += 1;
     }
 
-    /// Takes in a datagram.
+    /// Handles a datagram.
     pub(super) fn receive_datagram(
         &mut self,
         now: Micros,
@@ -40,17 +39,16 @@
         out: &mut membership::Output,
         actions: &mut Vec<Action>,
     ) {
-        self.figures.received.0 += 1;
-        self.figures.received.1 += bytes.len() as u64;
+        self.figures.received.add(bytes);
         let body = match codec::decode_packet(self.cluster_hash, bytes) {
             Ok(body) => body,
             Err(why) => return self.count_rejected(why),
         };
         match body {
             PacketBody::Swim(swim) => {
-                codec::sender_state(&swim)
-                    .into_iter()
-                    .for_each(|source| self.member_heard(now, source, actions));
+                if let Some(source) = codec::sender_state(&swim) {
+                    self.member_heard(now, source, actions);
+                }
                 if !self.membership.receive_swim(now, &swim, out) && codec::named_members(&swim).is_none() {
                     self.count_rejected(Rejected::Garbage);
                 }
@@ -58,7 +56,9 @@
             PacketBody::Suspected(word) => self.receive_suspicion(now, &word, out, actions),
             PacketBody::Heard(state) => self.membership.confirm_alive(now, &state, out),
             PacketBody::Leaving(who) => {
-                Member::from_wire(&who).into_iter().for_each(|m| self.membership.member_left(now, &m, out));
+                if let Some(member) = Member::from_wire(&who) {
+                    self.membership.member_left(now, &member, out);
+                }
             }
             PacketBody::Digest(digest) => {
                 let Some(from) = digest.from.as_ref().and_then(Member::from_wire) else {
@@ -72,13 +72,13 @@
                     return self.count_rejected(Rejected::Garbage);
                 };
                 self.membership.observe_alive(now, &from, out);
-                let list_actions = self.lists.change(now, change);
+                let list_actions = self.lists.receive_change(now, change);
                 self.perform_list_actions(now, list_actions, Some(&from), actions);
             }
         }
     }
 
-    /// Takes in the response to a request of ours; none: there was none in time.
+    /// Handles the response to a request of ours; none after a time-out.
     pub(super) fn receive_response(
         &mut self,
         now: Micros,
@@ -87,17 +87,17 @@
         out: &mut membership::Output,
         actions: &mut Vec<Action>,
     ) {
-        if self.pull_in_flight.is_some_and(|pull| pull.0 == from) {
+        if self.pull_in_flight.is_some_and(|pull| pull.to == from) {
             self.pull_in_flight = None;
         }
         let Some(bytes) = response else {
-            self.figures.requests.1 += 1;
+            self.figures.requests_failed += 1;
             return;
         };
         match codec::decode_frame(self.cluster_hash, bytes) {
             Ok((_, FrameBody::Members(members))) => self.membership.merge_states(now, &members, out),
             Ok((sender, FrameBody::Listing(listing))) => {
-                let list_actions = self.lists.listed(now, listing);
+                let list_actions = self.lists.receive_listing(now, listing);
                 self.perform_list_actions(now, list_actions, Some(&sender), actions);
             }
             Ok(_) => {}
@@ -126,7 +126,7 @@
                 FrameBody::Members(self.membership.export_states())
             }
             FrameBody::Pull(version) => {
-                let listing = self.lists.listing(now, &version);
+                let listing = self.lists.answer_pull(now, &version);
                 listing.map_or(FrameBody::Nothing(wire::Nothing {}), FrameBody::Listing)
             }
             FrameBody::Listing(_) | FrameBody::Nothing(_) => FrameBody::Nothing(wire::Nothing {}),
