--- a/crates/gearman-load/src/depth.rs
+++ b/crates/gearman-load/src/depth.rs
@@ -100,7 +100,7 @@
     let _ = stream.set_nodelay(true);
     let mut worker = Worker::new(Kind::GrabJob);
     worker.can_do(b"f");
-    worker.start();
+    worker.grab();
     let mut buffer = vec![0; 8192];
     let (mut done, mut start) = (0, Instant::now());
     // The first ones are not timed: the server learns how long a job takes.
--- a/crates/gearman-load/src/peers.rs
+++ b/crates/gearman-load/src/peers.rs
@@ -38,7 +38,7 @@
 fn work(stream: &mut TcpStream, functions: &[&str], span: Duration, ready: &AtomicU64) {
     let mut worker = Worker::new(Kind::GrabJob);
     functions.iter().for_each(|f| worker.can_do(f.as_bytes()));
-    worker.start();
+    worker.grab();
     let mut buffer = vec![0; 8192];
     let mut told = false;
     loop {
@@ -144,7 +144,7 @@
                         seen.spans.lock().expect("not poisoned").saturating_record(span.max(1));
                     }
                 }
-                Event::Fail(ticket) | Event::TurnedAway(ticket, ..) if since.remove(&ticket).is_some() => {
+                Event::Fail(ticket) | Event::Rejected { ticket, .. } if since.remove(&ticket).is_some() => {
                     seen.failed.fetch_add(1, Ordering::SeqCst);
                 }
                 _ => {}
@@ -192,7 +192,7 @@
                     seen.spans.lock().expect("not poisoned").saturating_record(span.max(1));
                     return;
                 }
-                Event::Fail(_) | Event::TurnedAway(..) => {
+                Event::Fail(_) | Event::Rejected { .. } => {
                     seen.failed.fetch_add(1, Ordering::SeqCst);
                     return;
                 }
@@ -215,7 +215,7 @@
     let writer = std::thread::spawn(move || writing.write_all(&bytes));
     let (mut created, mut served, mut failed) = (0, 0, 0);
     let mut buffer = vec![0; 65536];
-    while client.open() > 0 {
+    while client.unfinished() > 0 {
         match stream.read(&mut buffer) {
             Ok(n) if n > 0 && client.input(&buffer[..n]).is_ok() => {}
             _ => break,
@@ -224,7 +224,7 @@
             match event {
                 Event::Created(..) => created += 1,
                 Event::Complete(..) => served += 1,
-                Event::Fail(_) | Event::TurnedAway(..) => failed += 1,
+                Event::Fail(_) | Event::Rejected { .. } => failed += 1,
                 _ => {}
             }
         }
@@ -256,7 +256,7 @@
     let _ = stream.set_read_timeout(Some(PATIENCE));
     let mut worker = Worker::new(Kind::GrabJob);
     worker.can_do(function.as_bytes());
-    worker.start();
+    worker.grab();
     let (told, ready) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let mut buffer = vec![0; 8192];
--- a/crates/gearman/src/client.rs
+++ b/crates/gearman/src/client.rs
@@ -1,57 +1,75 @@
-//! A client's side of a connection: submits jobs and follows them to their last word.
+//! A client's side of a connection: submits jobs and follows them to their final answer.
 
-use crate::decode::{Broken, Decoder, Frame, Limits};
-use crate::packet::{Kind, Magic, Packet, encode};
+use crate::decode::DecodeError;
+use crate::packet::{Kind, Packet};
+use crate::peer_stream::{PeerStream, ReceivedPacket};
 use crate::submit::Submission;
 use std::collections::{HashMap, VecDeque};
 
-/// A job that this client submitted, by the order of submission.
+/// The number of a submission of this client, in the order of submission.
 pub type Ticket = u64;
 
-/// What a client hears.
+/// What a client receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A job was created under a handle.
+    /// A job was created under this handle.
     Created(Ticket, Vec<u8>),
-    /// A submission was turned away: code and text.
-    TurnedAway(Ticket, Vec<u8>, Vec<u8>),
+    /// A submission was rejected.
+    Rejected {
+        /// The submission.
+        ticket: Ticket,
+        /// The error's code.
+        code: Vec<u8>,
+        /// The error's text.
+        text: Vec<u8>,
+    },
     /// A part of a job's result.
     Data(Ticket, Vec<u8>),
     /// A warning.
     Warning(Ticket, Vec<u8>),
-    /// How far it is: numerator and denominator as sent.
-    Status(Ticket, Vec<u8>, Vec<u8>),
-    /// Why it will fail; its failure follows.
+    /// The progress of a job, as sent.
+    Status {
+        /// The submission.
+        ticket: Ticket,
+        /// The part that is done.
+        numerator: Vec<u8>,
+        /// The whole.
+        denominator: Vec<u8>,
+    },
+    /// Why a job will fail; the failure follows.
     Exception(Ticket, Vec<u8>),
-    /// The last word: its result.
+    /// The final answer: the result.
     Complete(Ticket, Vec<u8>),
-    /// The last word: it failed.
+    /// The final answer: the job has failed.
     Fail(Ticket),
-    /// Something else that was asked for: the type and its arguments.
+    /// The answer to another request: its type and its arguments.
     Answer(Kind, Vec<u8>),
-    /// A word on a job that this client does not wait for: a server's mistake.
-    Stray(Kind, Vec<u8>),
+    /// A packet about a job that this client does not wait for: a fault of the server.
+    Unexpected(Kind, Vec<u8>),
+}
+
+/// A submission without an answer.
+struct PendingSubmission {
+    ticket: Ticket,
+    is_background: bool,
 }
 
 /// The state machine.
 pub struct Client {
-    decoder: Decoder,
-    out: Vec<u8>,
-    next: Ticket,
-    asked: VecDeque<(Ticket, bool)>,
-    jobs: HashMap<Vec<u8>, Vec<Ticket>>,
-    ready: VecDeque<Event>,
+    stream: PeerStream<Event>,
+    next_ticket: Ticket,
+    pending: VecDeque<PendingSubmission>,
+    /// Foreground submissions without a final answer, by the handle of their job.
+    waiting: HashMap<Vec<u8>, Vec<Ticket>>,
 }
 
 impl Default for Client {
     fn default() -> Client {
         Client {
-            decoder: Decoder::new(Magic::Res, Limits { packet: 64 << 20, line: 0 }),
-            out: Vec::new(),
-            next: 0,
-            asked: VecDeque::new(),
-            jobs: HashMap::new(),
-            ready: VecDeque::new(),
+            stream: PeerStream::new(),
+            next_ticket: 0,
+            pending: VecDeque::new(),
+            waiting: HashMap::new(),
         }
     }
 }
@@ -59,94 +77,112 @@
 impl Client {
     /// Submits a job.
     pub fn submit(&mut self, job: &Submission) -> Ticket {
-        job.write(&mut self.out);
-        let ticket = self.next;
-        self.next += 1;
-        self.asked.push_back((ticket, job.background));
+        job.write(&mut self.stream.output);
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.pending.push_back(PendingSubmission { ticket, is_background: job.background });
         ticket
     }
-    /// Sends any other packet; its answer comes as [`Event::Answer`].
-    pub fn ask(&mut self, kind: Kind, args: &[&[u8]]) {
-        encode(Magic::Req, kind, args, &mut self.out);
+
+    /// Sends any other packet. Its answer is an [`Event::Answer`].
+    pub fn send(&mut self, kind: Kind, args: &[&[u8]]) {
+        self.stream.send(kind, args);
     }
-    /// Bytes to be written; whoever takes them writes them.
+
+    /// Takes the bytes that are to be written.
     pub fn take_output(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+        self.stream.take_output()
     }
-    /// Jobs whose last word is yet to come, and submissions without an answer.
-    pub fn open(&self) -> usize {
-        self.jobs.values().map(Vec::len).sum::<usize>() + self.asked.len()
+
+    /// Number of submissions without an answer, and of those whose final answer is still to come.
+    pub fn unfinished(&self) -> usize {
+        self.waiting.values().map(Vec::len).sum::<usize>() + self.pending.len()
     }
-    /// Takes in bytes.
+
+    /// Handles received bytes.
     ///
     /// # Errors
-    /// Where they are no packets of a server.
-    pub fn input(&mut self, bytes: &[u8]) -> Result<(), Broken> {
-        self.decoder.feed(bytes);
-        while let Some(frame) = self.decoder.next_frame()? {
-            if let Frame::Packet(kind, data) = frame {
-                self.take(kind, data);
-            }
+    /// They are no packets of a server.
+    pub fn input(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
+        self.stream.feed(bytes);
+        while let Some(packet) = self.stream.next_packet()? {
+            self.handle_packet(packet);
         }
         Ok(())
     }
-    /// The next thing heard.
+
+    /// The next event.
     pub fn poll(&mut self) -> Option<Event> {
-        self.ready.pop_front()
+        self.stream.next_event()
     }
 
-    fn take(&mut self, kind: Kind, data: Vec<u8>) {
-        let Ok(packet) = Packet::parse(kind, &data) else {
-            return self.ready.push_back(Event::Stray(kind, data));
+    fn handle_packet(&mut self, received: ReceivedPacket) {
+        let Ok(packet) = Packet::parse(received.kind, &received.data) else {
+            return self.push_unexpected(&received);
         };
         match packet {
-            Packet::JobCreated { handle } => match self.asked.pop_front() {
-                Some((ticket, background)) => {
-                    if !background {
-                        self.jobs.entry(handle.to_vec()).or_default().push(ticket);
-                    }
-                    self.ready.push_back(Event::Created(ticket, handle.to_vec()));
-                }
-                None => self.ready.push_back(Event::Stray(kind, data)),
-            },
-            Packet::Error { code, text } => match self.asked.pop_front() {
-                Some((ticket, _)) => {
-                    self.ready.push_back(Event::TurnedAway(ticket, code.to_vec(), text.to_vec()));
-                }
-                None => self.ready.push_back(Event::Answer(kind, data)),
-            },
-            Packet::WorkComplete { handle, data: result } => {
-                self.last(kind, handle, &data, |t| Event::Complete(t, result.to_vec()));
+            Packet::JobCreated { handle } => self.handle_created(handle, &received),
+            Packet::Error { code, text } => self.handle_error(code, text, &received),
+            Packet::WorkComplete { handle, data } => {
+                self.push_final(handle, &received, |ticket| Event::Complete(ticket, data.to_vec()));
             }
-            Packet::WorkFail { handle } => self.last(kind, handle, &data, Event::Fail),
-            Packet::WorkData { handle, data: part } => {
-                self.all(kind, handle, &data, |t| Event::Data(t, part.to_vec()));
+            Packet::WorkFail { handle } => self.push_final(handle, &received, Event::Fail),
+            Packet::WorkData { handle, data } => {
+                self.push_for_job(handle, &received, |ticket| Event::Data(ticket, data.to_vec()));
             }
-            Packet::WorkWarning { handle, data: part } => {
-                self.all(kind, handle, &data, |t| Event::Warning(t, part.to_vec()));
+            Packet::WorkWarning { handle, data } => {
+                self.push_for_job(handle, &received, |ticket| Event::Warning(ticket, data.to_vec()));
             }
-            Packet::WorkException { handle, data: part } => {
-                self.all(kind, handle, &data, |t| Event::Exception(t, part.to_vec()));
+            Packet::WorkException { handle, data } => {
+                self.push_for_job(handle, &received, |ticket| Event::Exception(ticket, data.to_vec()));
             }
             Packet::WorkStatus { handle, numerator, denominator } => {
-                self.all(kind, handle, &data, |t| Event::Status(t, numerator.to_vec(), denominator.to_vec()));
+                self.push_for_job(handle, &received, |ticket| Event::Status {
+                    ticket,
+                    numerator: numerator.to_vec(),
+                    denominator: denominator.to_vec(),
+                });
             }
-            _ => self.ready.push_back(Event::Answer(kind, data)),
+            _ => self.stream.push_event(Event::Answer(received.kind, received.data)),
         }
     }
 
-    fn all(&mut self, kind: Kind, handle: &[u8], data: &[u8], event: impl Fn(Ticket) -> Event) {
-        match self.jobs.get(handle) {
-            Some(tickets) => self.ready.extend(tickets.iter().map(|t| event(*t))),
-            None => self.ready.push_back(Event::Stray(kind, data.to_vec())),
+    fn handle_created(&mut self, handle: &[u8], received: &ReceivedPacket) {
+        let Some(submission) = self.pending.pop_front() else { return self.push_unexpected(received) };
+        if !submission.is_background {
+            self.waiting.entry(handle.to_vec()).or_default().push(submission.ticket);
+        }
+        self.stream.push_event(Event::Created(submission.ticket, handle.to_vec()));
+    }
+
+    fn handle_error(&mut self, code: &[u8], text: &[u8], received: &ReceivedPacket) {
+        let event = match self.pending.pop_front() {
+            Some(submission) => {
+                Event::Rejected { ticket: submission.ticket, code: code.to_vec(), text: text.to_vec() }
+            }
+            None => Event::Answer(received.kind, received.data.clone()),
+        };
+        self.stream.push_event(event);
+    }
+
+    fn push_unexpected(&mut self, received: &ReceivedPacket) {
+        self.stream.push_event(Event::Unexpected(received.kind, received.data.clone()));
+    }
+
+    /// An event for each submission that waits for a job.
+    fn push_for_job(&mut self, handle: &[u8], received: &ReceivedPacket, event: impl Fn(Ticket) -> Event) {
+        let Some(tickets) = self.waiting.get(handle) else { return self.push_unexpected(received) };
+        for ticket in tickets {
+            self.stream.push_event(event(*ticket));
         }
     }
 
-    /// One last word for each submission that joined the job: a server sends it once a connection, or once for each.
-    fn last(&mut self, kind: Kind, handle: &[u8], data: &[u8], event: impl Fn(Ticket) -> Event) {
-        match self.jobs.remove(handle) {
-            Some(tickets) => self.ready.extend(tickets.into_iter().map(event)),
-            None => self.ready.push_back(Event::Stray(kind, data.to_vec())),
+    /// The final answer for each submission that joined the job: a server sends it once for a connection, or once for
+    /// each submission.
+    fn push_final(&mut self, handle: &[u8], received: &ReceivedPacket, event: impl Fn(Ticket) -> Event) {
+        let Some(tickets) = self.waiting.remove(handle) else { return self.push_unexpected(received) };
+        for ticket in tickets {
+            self.stream.push_event(event(ticket));
         }
     }
 }
--- a/crates/gearman/src/submit.rs
+++ b/crates/gearman/src/submit.rs
@@ -1,21 +1,22 @@
 //! The ten ways to submit a job, as one record.
 
 use crate::packet::{Kind, Magic, Packet, encode, number};
+use std::fmt;
 
 /// A job's priority within its function.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Before all others.
+    /// Served before all others.
     High,
-    /// As usual.
+    /// The ordinary one.
     #[default]
     Normal,
-    /// After all others.
+    /// Served after all others.
     Low,
 }
 
 impl Priority {
-    /// All of them, the first to be served first.
+    /// All of them, in the order in which they are served.
     pub const ALL: [Priority; 3] = [Priority::High, Priority::Normal, Priority::Low];
 }
 
@@ -27,7 +28,7 @@
     Now,
     /// Not before this many seconds since the Unix epoch.
     Epoch(u64),
-    /// At the next minute that fits; a field without a value fits always.
+    /// At the next minute that matches; a field without a value matches always.
     Sched {
         /// 0 to 59.
         minute: Option<u8>,
@@ -47,11 +48,11 @@
 pub struct Submission<'a> {
     /// The function that is to run it.
     pub function: &'a [u8],
-    /// What tells it from others; `-` stands for the data itself; empty for none.
+    /// Its unique id: submissions with the same one are the same job. `-` stands for the data itself; empty for none.
     pub unique: &'a [u8],
     /// Its priority.
     pub priority: Priority,
-    /// Nobody waits for its result.
+    /// Whether nobody waits for its result.
     pub background: bool,
     /// When it may start.
     pub when: When,
@@ -61,17 +62,28 @@
     pub data: &'a [u8],
 }
 
-/// Why a submission makes no sense.
+/// Why a submission is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invalid {
-    /// It submits nothing.
+    /// The packet is of another type.
     Kind,
-    /// The time is no number, or out of its range.
+    /// The scheduled time is no number, or out of range.
     Time,
 }
 
+impl fmt::Display for Invalid {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Invalid::Kind => "submits nothing",
+            Invalid::Time => "the time is no time",
+        })
+    }
+}
+
+impl std::error::Error for Invalid {}
+
 impl<'a> Submission<'a> {
-    /// A foreground job of ordinary priority.
+    /// A foreground job of normal priority.
     pub fn new(function: &'a [u8], unique: &'a [u8], data: &'a [u8]) -> Submission<'a> {
         Submission {
             function,
@@ -84,58 +96,61 @@
         }
     }
 
-    /// Reads one.
+    /// Reads it from a packet.
     ///
     /// # Errors
-    /// Where the packet submits nothing, or its time makes no sense.
+    /// The packet submits nothing, or its scheduled time is invalid.
     pub fn read(packet: &Packet<'a>) -> Result<Submission<'a>, Invalid> {
         use Packet as P;
-        let plain = |function, unique, data, priority, background| Submission {
-            priority,
-            background,
-            ..Submission::new(function, unique, data)
-        };
         Ok(match *packet {
-            P::SubmitJob { function, unique, data } => plain(function, unique, data, Priority::Normal, false),
+            P::SubmitJob { function, unique, data } => Submission::new(function, unique, data),
             P::SubmitJobHigh { function, unique, data } => {
-                plain(function, unique, data, Priority::High, false)
+                Submission::new(function, unique, data).with_priority(Priority::High)
             }
-            P::SubmitJobLow { function, unique, data } => plain(function, unique, data, Priority::Low, false),
-            P::SubmitJobBg { function, unique, data } => {
-                plain(function, unique, data, Priority::Normal, true)
+            P::SubmitJobLow { function, unique, data } => {
+                Submission::new(function, unique, data).with_priority(Priority::Low)
             }
+            P::SubmitJobBg { function, unique, data } => Submission::new_background(function, unique, data),
             P::SubmitJobHighBg { function, unique, data } => {
-                plain(function, unique, data, Priority::High, true)
+                Submission::new_background(function, unique, data).with_priority(Priority::High)
             }
             P::SubmitJobLowBg { function, unique, data } => {
-                plain(function, unique, data, Priority::Low, true)
+                Submission::new_background(function, unique, data).with_priority(Priority::Low)
+            }
+            P::SubmitReduceJob { function, unique, reducer, data } => {
+                Submission { reducer: Some(reducer), ..Submission::new(function, unique, data) }
             }
-            P::SubmitReduceJob { function, unique, reducer, data } => Submission {
-                reducer: Some(reducer),
-                ..plain(function, unique, data, Priority::Normal, false)
-            },
             P::SubmitReduceJobBackground { function, unique, reducer, data } => {
-                Submission { reducer: Some(reducer), ..plain(function, unique, data, Priority::Normal, true) }
+                Submission { reducer: Some(reducer), ..Submission::new_background(function, unique, data) }
+            }
+            P::SubmitJobEpoch { function, unique, epoch, data } => {
+                let when = When::Epoch(number(epoch).ok_or(Invalid::Time)?);
+                Submission { when, ..Submission::new_background(function, unique, data) }
+            }
+            P::SubmitJobSched { function, unique, minute, hour, day, month, weekday, data } => {
+                let when = When::Sched {
+                    minute: calendar_field(minute, 0, 59)?,
+                    hour: calendar_field(hour, 0, 23)?,
+                    day: calendar_field(day, 1, 31)?,
+                    month: calendar_field(month, 1, 12)?,
+                    weekday: calendar_field(weekday, 0, 6)?,
+                };
+                Submission { when, ..Submission::new_background(function, unique, data) }
             }
-            P::SubmitJobEpoch { function, unique, epoch, data } => Submission {
-                when: When::Epoch(number(epoch).ok_or(Invalid::Time)?),
-                ..plain(function, unique, data, Priority::Normal, true)
-            },
-            P::SubmitJobSched { function, unique, minute, hour, day, month, weekday, data } => Submission {
-                when: When::Sched {
-                    minute: field(minute, 0, 59)?,
-                    hour: field(hour, 0, 23)?,
-                    day: field(day, 1, 31)?,
-                    month: field(month, 1, 12)?,
-                    weekday: field(weekday, 0, 6)?,
-                },
-                ..plain(function, unique, data, Priority::Normal, true)
-            },
             _ => return Err(Invalid::Kind),
         })
     }
 
-    /// The type that submits it. Jobs with a time or a reducer have no priority, those with a time no foreground.
+    fn new_background(function: &'a [u8], unique: &'a [u8], data: &'a [u8]) -> Submission<'a> {
+        Submission { background: true, ..Submission::new(function, unique, data) }
+    }
+
+    fn with_priority(self, priority: Priority) -> Submission<'a> {
+        Submission { priority, ..self }
+    }
+
+    /// The type of its packet. A job with a scheduled time or a reducer has no priority, and one with a scheduled time is a
+    /// background job.
     pub fn kind(&self) -> Kind {
         match (self.when, self.reducer, self.background, self.priority) {
             (When::Epoch(_), ..) => Kind::SubmitJobEpoch,
@@ -151,28 +166,40 @@
         }
     }
 
-    /// Writes it as a client does.
+    /// Appends its packet, as a client sends it.
     pub fn write(&self, out: &mut Vec<u8>) {
-        let (kind, f, u, d) = (self.kind(), self.function, self.unique, self.data);
-        let mut put = |args: &[&[u8]]| encode(Magic::Req, kind, args, out);
-        match (self.when, self.reducer) {
-            (When::Epoch(at), _) => put(&[f, u, at.to_string().as_bytes(), d]),
-            (When::Sched { minute, hour, day, month, weekday }, _) => {
-                let [m, h, y, o, w] = [minute, hour, day, month, weekday]
-                    .map(|x| x.map_or_else(String::new, |x| x.to_string()).into_bytes());
-                put(&[f, u, &m, &h, &y, &o, &w, d]);
-            }
-            (When::Now, Some(reducer)) => put(&[f, u, reducer, d]),
-            (When::Now, None) => put(&[f, u, d]),
+        let mut args = vec![self.function, self.unique];
+        let schedule = schedule_args(&self.when);
+        args.extend(schedule.iter().map(String::as_bytes));
+        if self.when == When::Now {
+            args.extend(self.reducer);
         }
+        args.push(self.data);
+        encode(Magic::Req, self.kind(), &args, out);
     }
 }
 
-/// A field of a set time: empty, `*` or `-1` fit always.
-fn field(arg: &[u8], least: u8, most: u8) -> Result<Option<u8>, Invalid> {
+/// The arguments of a scheduled time.
+fn schedule_args(when: &When) -> Vec<String> {
+    match when {
+        When::Now => Vec::new(),
+        When::Epoch(seconds) => vec![seconds.to_string()],
+        When::Sched { minute, hour, day, month, weekday } => {
+            let fields = [minute, hour, day, month, weekday];
+            let text = |field: &Option<u8>| field.map_or_else(String::new, |value| value.to_string());
+            fields.into_iter().map(text).collect()
+        }
+    }
+}
+
+/// A field of a scheduled time. Empty, `*` and `-1` match always.
+fn calendar_field(arg: &[u8], least: u8, most: u8) -> Result<Option<u8>, Invalid> {
     if matches!(arg, b"" | b"*" | b"-1") {
         return Ok(None);
     }
-    let n = number(arg).and_then(|n| u8::try_from(n).ok()).filter(|n| (least..=most).contains(n));
-    n.map(Some).ok_or(Invalid::Time)
+    let value = number(arg).and_then(|value| u8::try_from(value).ok()).ok_or(Invalid::Time)?;
+    if !(least..=most).contains(&value) {
+        return Err(Invalid::Time);
+    }
+    Ok(Some(value))
 }
--- a/crates/gearman/src/worker.rs
+++ b/crates/gearman/src/worker.rs
@@ -1,121 +1,120 @@
-//! A worker's side of a connection: registers, sleeps, wakes, takes jobs and ends them.
+//! A worker's side of a connection: registers functions, sleeps, wakes up, grabs jobs and ends them.
 
-use crate::decode::{Broken, Decoder, Frame, Limits};
-use crate::packet::{Kind, Magic, Packet, encode};
-use std::collections::VecDeque;
+use crate::decode::DecodeError;
+use crate::packet::{Kind, Packet};
+use crate::peer_stream::{PeerStream, ReceivedPacket};
 
 /// A job that was assigned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Job {
-    /// Its name here.
+    /// Its handle.
     pub handle: Vec<u8>,
-    /// What to run.
+    /// The function to run.
     pub function: Vec<u8>,
-    /// Its unique id, where the way of grabbing tells it.
+    /// Its unique id, after GRAB_JOB_UNIQ and GRAB_JOB_ALL; else empty.
     pub unique: Vec<u8>,
-    /// Its reducer, likewise.
+    /// Its reducer, after GRAB_JOB_ALL; else empty.
     pub reducer: Vec<u8>,
     /// Its data.
     pub data: Vec<u8>,
 }
 
-/// What a worker hears.
+/// What a worker receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A job, to be ended by [`Worker::complete`] or [`Worker::fail`].
     Assigned(Job),
-    /// The server found fault: code and text.
+    /// An error of the server: code and text.
     Error(Vec<u8>, Vec<u8>),
-    /// Anything else.
+    /// Any other packet: its type and its arguments.
     Answer(Kind, Vec<u8>),
 }
 
-/// The state machine. It grabs when woken and after each job, and sleeps when there is none.
+/// The state machine. It grabs when it is woken and after each job, and sleeps when there is none.
 pub struct Worker {
-    decoder: Decoder,
-    out: Vec<u8>,
-    grab: Kind,
-    ready: VecDeque<Event>,
+    stream: PeerStream<Event>,
+    grab_kind: Kind,
 }
 
 impl Worker {
-    /// One that grabs by GRAB_JOB, GRAB_JOB_UNIQ or GRAB_JOB_ALL.
-    pub fn new(grab: Kind) -> Worker {
-        let decoder = Decoder::new(Magic::Res, Limits { packet: 64 << 20, line: 0 });
-        Worker { decoder, out: Vec::new(), grab, ready: VecDeque::new() }
+    /// A worker that grabs by GRAB_JOB, GRAB_JOB_UNIQ or GRAB_JOB_ALL.
+    pub fn new(grab_kind: Kind) -> Worker {
+        Worker { stream: PeerStream::new(), grab_kind }
     }
+
     /// Sends a packet.
     pub fn send(&mut self, kind: Kind, args: &[&[u8]]) {
-        encode(Magic::Req, kind, args, &mut self.out);
+        self.stream.send(kind, args);
     }
+
     /// Registers a function.
     pub fn can_do(&mut self, function: &[u8]) {
         self.send(Kind::CanDo, &[function]);
     }
-    /// Asks for a first job.
-    pub fn start(&mut self) {
-        self.send(self.grab, &[]);
+
+    /// Grabs a job.
+    pub fn grab(&mut self) {
+        self.send(self.grab_kind, &[]);
     }
-    /// Ends a job with its result and asks for the next.
+
+    /// Ends a job with its result and grabs the next.
     pub fn complete(&mut self, handle: &[u8], data: &[u8]) {
         self.send(Kind::WorkComplete, &[handle, data]);
-        self.start();
+        self.grab();
     }
-    /// Ends a job as failed and asks for the next.
+
+    /// Ends a job as failed and grabs the next.
     pub fn fail(&mut self, handle: &[u8]) {
         self.send(Kind::WorkFail, &[handle]);
-        self.start();
+        self.grab();
     }
-    /// Bytes to be written; whoever takes them writes them.
+
+    /// Takes the bytes that are to be written.
     pub fn take_output(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+        self.stream.take_output()
     }
-    /// Takes in bytes.
+
+    /// Handles received bytes.
     ///
     /// # Errors
-    /// Where they are no packets of a server.
-    pub fn input(&mut self, bytes: &[u8]) -> Result<(), Broken> {
-        self.decoder.feed(bytes);
-        while let Some(frame) = self.decoder.next_frame()? {
-            if let Frame::Packet(kind, data) = frame {
-                self.take(kind, data);
-            }
+    /// They are no packets of a server.
+    pub fn input(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
+        self.stream.feed(bytes);
+        while let Some(packet) = self.stream.next_packet()? {
+            self.handle_packet(packet);
         }
         Ok(())
     }
-    /// The next thing heard.
+
+    /// The next event.
     pub fn poll(&mut self) -> Option<Event> {
-        self.ready.pop_front()
+        self.stream.next_event()
     }
 
-    fn take(&mut self, kind: Kind, data: Vec<u8>) {
-        let own = |b: &[u8]| b.to_vec();
-        let event = match Packet::parse(kind, &data) {
-            Ok(Packet::Noop {}) => return self.start(),
+    fn handle_packet(&mut self, received: ReceivedPacket) {
+        let event = match Packet::parse(received.kind, &received.data) {
+            Ok(Packet::Noop {}) => return self.grab(),
             Ok(Packet::NoJob {}) => return self.send(Kind::PreSleep, &[]),
-            Ok(Packet::JobAssign { handle, function, data }) => Event::Assigned(Job {
-                handle: own(handle),
-                function: own(function),
-                data: own(data),
-                ..Job::default()
-            }),
-            Ok(Packet::JobAssignUniq { handle, function, unique, data }) => Event::Assigned(Job {
-                handle: own(handle),
-                function: own(function),
-                unique: own(unique),
-                data: own(data),
-                ..Job::default()
-            }),
+            Ok(Packet::JobAssign { handle, function, data }) => {
+                Event::Assigned(Job::assigned(handle, function, data))
+            }
+            Ok(Packet::JobAssignUniq { handle, function, unique, data }) => {
+                Event::Assigned(Job { unique: unique.to_vec(), ..Job::assigned(handle, function, data) })
+            }
             Ok(Packet::JobAssignAll { handle, function, unique, reducer, data }) => Event::Assigned(Job {
-                handle: own(handle),
-                function: own(function),
-                unique: own(unique),
-                reducer: own(reducer),
-                data: own(data),
+                unique: unique.to_vec(),
+                reducer: reducer.to_vec(),
+                ..Job::assigned(handle, function, data)
             }),
-            Ok(Packet::Error { code, text }) => Event::Error(own(code), own(text)),
-            _ => Event::Answer(kind, data),
+            Ok(Packet::Error { code, text }) => Event::Error(code.to_vec(), text.to_vec()),
+            _ => Event::Answer(received.kind, received.data),
         };
-        self.ready.push_back(event);
+        self.stream.push_event(event);
+    }
+}
+
+impl Job {
+    fn assigned(handle: &[u8], function: &[u8], data: &[u8]) -> Job {
+        Job { handle: handle.to_vec(), function: function.to_vec(), data: data.to_vec(), ..Job::default() }
     }
 }
--- a/dispatcher/src/wire/gearman/submission.rs
+++ b/dispatcher/src/wire/gearman/submission.rs
@@ -25,10 +25,8 @@
 enum SubmitError {
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    #[error("submits nothing")]
-    NoSubmission,
-    #[error("the time is no time")]
-    InvalidTime,
+    #[error(transparent)]
+    Invalid(#[from] Invalid),
     #[error("a unique id has at most 256 bytes")]
     UniqueTooLarge,
     #[error("at most {max_bytes} bytes of data")]
@@ -60,23 +58,14 @@
     }
 }
 
-impl From<Invalid> for SubmitError {
-    fn from(invalid: Invalid) -> SubmitError {
-        match invalid {
-            Invalid::Kind => SubmitError::NoSubmission,
-            Invalid::Time => SubmitError::InvalidTime,
-        }
-    }
-}
-
 impl SubmitError {
     /// The code in the ERROR packet.
     fn code(&self) -> &'static str {
         match self {
-            SubmitError::Malformed(_) | SubmitError::InvalidTime | SubmitError::Schedule(_) => {
+            SubmitError::Invalid(Invalid::Kind) => "UNEXPECTED_PACKET",
+            SubmitError::Malformed(_) | SubmitError::Invalid(Invalid::Time) | SubmitError::Schedule(_) => {
                 "INVALID_ARGUMENTS"
             }
-            SubmitError::NoSubmission => "UNEXPECTED_PACKET",
             SubmitError::UniqueTooLarge => "UNIQUE_TOO_LARGE",
             SubmitError::DataTooLarge { .. } => "TOO_LARGE",
             SubmitError::ShuttingDown => "SHUTTING_DOWN",
--- a/dispatcher/src/wire/gearman/worker_jobs.rs
+++ b/dispatcher/src/wire/gearman/worker_jobs.rs
@@ -11,7 +11,7 @@
 };
 use roselock::{Micros, Outcome};
 use roselock_gearman::Kind;
-use roselock_gearman::server::Chosen;
+use roselock_gearman::server::Reservation;
 use std::sync::Arc;
 
 /// How long a worker that grabs waits for the decisions, while there are jobs that wait for a worker, in microseconds.
@@ -57,12 +57,12 @@
         let RequestKind::Run(payload) = request.kind else { return None };
         let job = ReservedJob { id: request.id, function, payload, grabbed_at: 0 };
         let grab_by = clock::now() + front.settings.grab_timeout;
-        match self.change(front, |worker| worker.choose(function, job, grab_by)) {
-            Chosen::Wake => return Some(reply(Kind::Noop, &[])),
-            Chosen::Kept => {}
-            Chosen::Asked(kind) => return self.grab(front, kind),
-            Chosen::Unwilling(job) => report_never_ran(front, job.id, false),
-            Chosen::Gone(job) => report_never_ran(front, job.id, true),
+        match self.change(front, |worker| worker.reserve(function, job, grab_by)) {
+            Reservation::WakeUp => return Some(reply(Kind::Noop, &[])),
+            Reservation::Awake => {}
+            Reservation::Grabbing(kind) => return self.grab(front, kind),
+            Reservation::Unavailable(job) => report_never_ran(front, job.id, false),
+            Reservation::Disconnected(job) => report_never_ran(front, job.id, true),
         }
         None
     }
@@ -72,9 +72,9 @@
         let is_it = |job: &ReservedJob| job.id == id;
         let mut grabbed = None;
         let reserved = self.change(front, |worker| {
-            let reserved = worker.withdraw(is_it);
+            let reserved = worker.cancel_reservation(is_it);
             if reserved.is_none() {
-                grabbed = worker.give_up(is_it);
+                grabbed = worker.abandon(is_it);
             }
             reserved
         });
@@ -100,7 +100,7 @@
         });
         let Some(grabbed) = grabbed else {
             // The decisions may be about to choose it for a job that waits.
-            let waits = may_wait && self.change(front, |worker| worker.ask(kind, now + GRAB_WAIT));
+            let waits = may_wait && self.change(front, |worker| worker.wait_for_job(kind, now + GRAB_WAIT));
             return (!waits).then(|| reply(Kind::NoJob, &[]));
         };
         if let Some(job) = self.worker.lock().running_mut(&attempt_handle(grabbed.id)) {
@@ -118,7 +118,7 @@
         if !has_ended {
             return;
         }
-        if let Some(job) = self.change(front, |worker| worker.withdraw(|job| job.id == id)) {
+        if let Some(job) = self.change(front, |worker| worker.cancel_reservation(|job| job.id == id)) {
             report_never_ran(front, job.id, false);
         }
     }
@@ -126,7 +126,7 @@
     /// The attempt that is reserved for it, and the number of its job.
     fn reserved_job(&self) -> Option<(UpstreamId, u64)> {
         let worker = self.worker.lock();
-        let job = worker.chosen()?;
+        let job = worker.reserved()?;
         Some((job.id, job.job_no()?))
     }
 
--- a/dispatcher/src/wire/gearman/worker_registration.rs
+++ b/dispatcher/src/wire/gearman/worker_registration.rs
@@ -43,7 +43,7 @@
             cell: CellId(0),
             kind: KindId(0),
             units: 1.0,
-            started_at: self.worker.lock().since(),
+            started_at: self.worker.lock().registered_at(),
         };
         let connection: Option<Arc<dyn UpstreamConnection>> = match state {
             EndpointState::Gone => None,
@@ -113,7 +113,7 @@
     pub fn relist_if_unresponsive(self: &Arc<Self>, front: &Gearman) {
         let functions: Vec<usize> = {
             let worker = self.worker.lock();
-            if worker.is_deaf() { worker.able().collect() } else { Vec::new() }
+            if worker.is_unresponsive() { worker.able().collect() } else { Vec::new() }
         };
         for function in functions {
             self.list(front, function, EndpointState::Ready);
@@ -122,16 +122,16 @@
 
     /// The connection has ended: the job that it had may have run, one that was only reserved for it has not.
     pub fn disconnect_worker(self: &Arc<Self>, front: &Gearman) {
-        let (functions, reserved, running) = self.change(front, |worker| worker.leave());
-        if let Some(job) = reserved {
+        let had = self.change(front, |worker| worker.disconnect());
+        if let Some(job) = had.reserved {
             report_never_ran(front, job.id, true);
         }
-        if let Some(job) = running {
+        if let Some(job) = had.running {
             let report = LoadReport::default();
             let reset = UpstreamEvent::Ended { outcome: Outcome::Reset, report, body: Vec::new() };
             front.post_upstream(job.id, reset, ConnectionState::Closed);
         }
-        for function in functions {
+        for function in had.functions {
             self.list(front, function, EndpointState::Gone);
         }
     }
--- a/dispatcher/src/wire/gearman/worker_reports.rs
+++ b/dispatcher/src/wire/gearman/worker_reports.rs
@@ -8,7 +8,7 @@
 use crate::core::{ConnectionState, OutputKind, UpstreamEvent, UpstreamId, clock};
 use roselock::{EndpointState, LoadReport, Micros, Outcome};
 use roselock_gearman::packet::number;
-use roselock_gearman::server::{Due, Word};
+use roselock_gearman::server::{Expiry, Finish};
 use roselock_gearman::{Kind, Packet};
 use std::sync::Arc;
 
@@ -77,9 +77,9 @@
     /// WORK_COMPLETE with a result, or WORK_FAIL without one: ends its job. Reports about other attempts have no effect.
     pub fn finish(&self, front: &Gearman, handle: &[u8], result: Option<&[u8]>) -> Option<Vec<u8>> {
         let job = match self.change(front, |worker| worker.finish(handle)) {
-            Word::Of(job) => job,
-            Word::Late => return None,
-            Word::Foreign => {
+            Finish::Running(job) => job,
+            Finish::Abandoned => return None,
+            Finish::Unknown => {
                 let text = "this connection has no job under this handle";
                 return Some(error_reply("JOB_NOT_FOUND", text));
             }
@@ -96,7 +96,7 @@
 
     /// Its result is too large: the job fails, and it is free for another.
     pub fn fail_with_too_large_result(&self, front: &Gearman) {
-        let Some(job) = self.change(front, |worker| worker.drop_job()) else { return };
+        let Some(job) = self.change(front, |worker| worker.take_running()) else { return };
         post_exception(front, job.id, b"the result is too large".to_vec());
         let event = UpstreamEvent::Ended { outcome: Outcome::Error, report: full_report(), body: Vec::new() };
         front.post_upstream(job.id, event, ConnectionState::Free);
@@ -107,15 +107,15 @@
     pub fn expire(self: &Arc<Self>, front: &Gearman, now: Micros) {
         match self.change(front, |worker| worker.expire(now)) {
             None => {}
-            Some(Due::NoJob) => self.send(reply(Kind::NoJob, &[])),
-            Some(Due::Unheard(job)) => {
+            Some(Expiry::NoJob) => self.send(reply(Kind::NoJob, &[])),
+            Some(Expiry::NotGrabbed(job)) => {
                 tracing::warn!(worker = self.uid(), "gearman: a worker was woken and did not come");
                 for function in self.able() {
                     self.list(front, function, EndpointState::Draining);
                 }
                 report_never_ran(front, job.id, false);
             }
-            Some(Due::Late(job)) => {
+            Some(Expiry::NotFinished(job)) => {
                 tracing::warn!(worker = self.uid(), "Gearman worker exceeds its own time limit");
                 report_late(front, job.id);
             }
--- a/dispatcher/src/wire/gearman/worker_state.rs
+++ b/dispatcher/src/wire/gearman/worker_state.rs
@@ -101,7 +101,7 @@
         let old = Availability::of(&state);
         let result = change(&mut state);
         let new = Availability::of(&state);
-        let due = state.due();
+        let due = state.next_deadline();
         drop(state);
         front.set_timer(self, due);
         if old != new {
