--- a/crates/gearman-conformance/src/connection.rs
+++ b/crates/gearman-conformance/src/connection.rs
@@ -1,6 +1,6 @@
 //! A connection of a case to the server: packets and lines with a deadline.
 
-use roselock_gearman::decode::Broken;
+use roselock_gearman::decode::DecodeError;
 use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,7 +30,7 @@
     Unexpected(Frame),
     /// Bytes that are no packet.
     #[error("no packet: {0:?}")]
-    Malformed(Broken),
+    Malformed(DecodeError),
 }
 
 /// One connection that a case has opened.
--- a/crates/gearman-load/src/clients.rs
+++ b/crates/gearman-load/src/clients.rs
@@ -119,7 +119,7 @@
                         results.record(submitted.elapsed());
                     }
                 }
-                Event::Fail(ticket) | Event::TurnedAway(ticket, ..)
+                Event::Fail(ticket) | Event::Rejected { ticket, .. }
                     if submitted_at.remove(&ticket).is_some() =>
                 {
                     results.failed.fetch_add(1, Ordering::SeqCst);
@@ -173,7 +173,7 @@
                     results.record(due.elapsed());
                     return;
                 }
-                Event::Fail(_) | Event::TurnedAway(..) => {
+                Event::Fail(_) | Event::Rejected { .. } => {
                     results.failed.fetch_add(1, Ordering::SeqCst);
                     return;
                 }
@@ -207,7 +207,7 @@
     let writer = std::thread::spawn(move || writing.write_all(&bytes));
     let mut results = BurstResults::default();
     let mut buffer = vec![0; 65536];
-    while client.open() > 0 {
+    while client.unfinished() > 0 {
         match stream.read(&mut buffer) {
             Ok(length) if length > 0 && client.input(&buffer[..length]).is_ok() => {}
             _ => break,
@@ -216,7 +216,7 @@
             match event {
                 Event::Created(..) => results.created += 1,
                 Event::Complete(..) => results.served += 1,
-                Event::Fail(_) | Event::TurnedAway(..) => results.failed += 1,
+                Event::Fail(_) | Event::Rejected { .. } => results.failed += 1,
                 _ => {}
             }
         }
--- a/crates/gearman-load/src/depth.rs
+++ b/crates/gearman-load/src/depth.rs
@@ -132,7 +132,7 @@
     let _ = stream.set_nodelay(true);
     let mut worker = Worker::new(Kind::GrabJob);
     worker.can_do(b"f");
-    worker.start();
+    worker.grab();
     let mut buffer = vec![0; 8192];
     let mut done = 0;
     let mut start = Instant::now();
--- a/crates/gearman-load/src/workers.rs
+++ b/crates/gearman-load/src/workers.rs
@@ -41,7 +41,7 @@
     for function in functions {
         worker.can_do(function.as_bytes());
     }
-    worker.start();
+    worker.grab();
     let mut buffer = vec![0; READ_BUFFER];
     let mut is_registered = false;
     loop {
@@ -76,7 +76,7 @@
     let _ = stream.set_read_timeout(Some(TIMEOUT));
     let mut worker = Worker::new(Kind::GrabJob);
     worker.can_do(function.as_bytes());
-    worker.start();
+    worker.grab();
     let (received, registered) = std::sync::mpsc::channel();
     std::thread::spawn(move || work_unbuffered(stream, worker, &received));
     let _ = registered.recv_timeout(TIMEOUT);
