--- a/crates/rig/src/time.rs
+++ b/crates/rig/src/time.rs
@@ -28,6 +28,10 @@
         let left = at - self.now();
         if left > 0 {
             may::coroutine::sleep(std::time::Duration::from_micros(left as u64));
+            // The runtime's timer thread runs a coroutine that wakes, while its worker thread handles the socket events of the
+            // same coroutine: a connect that begins there can be resumed before its wait is set up, and panics ("no data
+            // to deref for OptionCell", may 0.3.51). Yielding continues on the worker thread.
+            may::coroutine::yield_now();
         }
     }
 }
