--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -18,7 +18,7 @@
     pub address: SocketAddr,
     /// When its process started, in milliseconds since 1970.
     pub generation: u64,
-    /// How often it has renewed its identity in this generation: each time it was held for down and rejoined.
+    /// How often it has renewed its identity in this generation: each time it counted as down and rejoined.
     pub renewal: u32,
     /// Its zone.
     pub zone: CompactString,
