--- a/dispatcher/src/wire/discovery/watch_error.rs
+++ b/dispatcher/src/wire/discovery/watch_error.rs
@@ -28,9 +28,9 @@
     /// The connection failed within a message.
     #[error("the connection failed")]
     Broken,
-    /// The response is no HTTP, or is too long.
+    /// The response is no HTTP, or is too long: the source has the status that says so.
     #[error("invalid HTTP response")]
-    InvalidResponse,
+    InvalidResponse(#[source] HttpError),
     /// The response has another status than 200.
     #[error("status {0}")]
     Status(u16),
@@ -54,7 +54,7 @@
             HttpError::Closed => WatchError::Closed,
             HttpError::ConnectionLost => WatchError::Broken,
             HttpError::TimedOut => WatchError::Silent,
-            HttpError::Status(_) => WatchError::InvalidResponse,
+            HttpError::Status(_) => WatchError::InvalidResponse(error),
         }
     }
 }
