--- a/crates/backlog/src/bounds.rs
+++ b/crates/backlog/src/bounds.rs
@@ -16,11 +16,11 @@
     Queue,
     /// There are too many jobs in all.
     Jobs,
-    /// Their data takes too much.
+    /// The data of all jobs takes too much memory.
     Bytes,
     /// Too many clients wait for it.
     Waiters,
-    /// The function is not taken any more.
+    /// The function is closed.
     Closed,
 }
 
--- a/crates/backlog/src/completion.rs
+++ b/crates/backlog/src/completion.rs
@@ -1,60 +1,63 @@
-//! How released jobs come back, and how jobs end: completed, cancelled, left by their clients or drained.
+//! How released jobs are queued again, and how jobs end: completed, cancelled, without clients, or drained.
 
 use crate::job::{Cancellation, Completion, EndedJob, Ending, Job, State};
+use crate::release::QueuePosition;
 use crate::{BACKOFF, Backlog, ClientNo, JobNo, Micros};
 
 impl<W, P> Backlog<W, P> {
-    /// The decisions have ended a released job; none for a job that was cancelled, or whose clients left, meanwhile.
+    /// The decisions have ended a released job. Returns none if it was cancelled, or its clients disconnected, meanwhile.
     ///
-    /// `ran` attempts of this release may have run; `repeat` says whether a repeat of what may have run is harmless.
+    /// `attempts_run` attempts of this release may have run; `is_repeatable` says whether a repeat of what may have run is
+    /// harmless.
     pub fn complete(
         &mut self,
         no: JobNo,
         stream: u32,
         ending: Ending,
-        ran: u32,
-        repeat: bool,
+        attempts_run: u32,
+        is_repeatable: bool,
         now: Micros,
     ) -> Option<Completion<W>> {
         let job = self.jobs.get_mut(&no).filter(|j| j.state == State::Released(stream))?;
         let queues = &mut self.functions[job.function];
-        job.attempts += ran;
-        let (running, function) = (std::mem::take(&mut job.running), job.function);
+        let function = job.function;
+        job.attempts += attempts_run;
         queues.released -= 1;
-        queues.running -= running as usize;
+        queues.running -= usize::from(job.running);
+        job.running = false;
         let may_wait = queues.settings.queued || job.background;
-        let may_repeat = (job.attempts == 0 || repeat) && job.attempts < queues.settings.max_attempts;
+        let may_repeat = (job.attempts == 0 || is_repeatable) && job.attempts < queues.settings.max_attempts;
         let may_requeue = may_wait && may_repeat && now < job.wait_deadline;
-        let requeue = match ending {
+        let is_requeued = match ending {
             Ending::Served => false,
-            // A worker has said so itself, unless none ever had it.
+            // The worker itself has reported the failure, unless no worker ever ran the job.
             Ending::Failed => may_requeue && job.attempts == 0,
-            Ending::Refused | Ending::TimedOut => may_requeue,
+            Ending::Rejected | Ending::TimedOut => may_requeue,
         };
-        if !requeue {
-            if queues.queued.iter().any(|n| *n > 0) {
-                // There may be room for the next one now.
+        if !is_requeued {
+            if queues.has_queued() {
+                // There may be capacity for the next job now.
                 let from = queues.backoff_until;
                 self.mark_ready(function, from);
             }
             return self.remove(no).map(Completion::Final);
         }
-        if ending != Ending::TimedOut || ran == 0 {
+        if ending != Ending::TimedOut || attempts_run == 0 {
             queues.backoff = (queues.backoff * 2).clamp(BACKOFF[0], BACKOFF[1]);
             queues.backoff_until = now + queues.backoff;
             self.ready_functions.insert(function, queues.backoff_until);
         }
         self.wait_deadlines.insert((job.wait_deadline, no));
-        self.enqueue(no, true);
+        self.enqueue(no, QueuePosition::Head);
         Some(Completion::Requeued)
     }
 
-    /// Notes that a worker has taken a released job, or has handed it back.
+    /// Notes that a worker has begun to run a released job, or has handed it back.
     pub fn set_running(&mut self, no: JobNo, stream: u32, runs: bool) {
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.state == State::Released(stream)) else { return };
         let queues = &mut self.functions[job.function];
         if runs && !job.running {
-            (queues.backoff, queues.backoff_until) = (0, 0);
+            queues.reset_backoff();
             queues.running += 1;
         } else if !runs && job.running {
             queues.running -= 1;
@@ -69,32 +72,32 @@
         }
     }
 
-    /// Notes what a worker says of a job's failure.
-    pub fn set_exception(&mut self, no: JobNo, said: Vec<u8>) {
+    /// Notes the reason that a worker gives for a job's failure.
+    pub fn set_exception(&mut self, no: JobNo, reason: Vec<u8>) {
         if let Some(job) = self.jobs.get_mut(&no) {
-            job.exception = Some(said);
+            job.exception = Some(reason);
         }
     }
 
-    /// Notes that a worker says that a job has failed.
+    /// Notes that a worker reports that a job has failed.
     pub fn set_failed(&mut self, no: JobNo) {
         if let Some(job) = self.jobs.get_mut(&no) {
             job.failed = true;
         }
     }
 
-    /// Notes how long a run took: the moving average decides how many jobs are released ahead.
-    pub fn record_run(&mut self, function: usize, span: Micros) {
-        self.functions[function].record_run(span);
+    /// Notes the duration of a run: its moving average decides how many jobs are released ahead.
+    pub fn record_run(&mut self, function: usize, duration: Micros) {
+        self.functions[function].record_run(duration);
     }
 
-    /// A client has left: drops its foreground jobs for which nobody else waits. Returns the streams of those that were
-    /// released.
-    pub fn client_left(&mut self, client: ClientNo) -> Vec<u32> {
+    /// A client has disconnected: drops its foreground jobs for which no other client waits. Returns the streams of those
+    /// that were released.
+    pub fn disconnect_client(&mut self, client: ClientNo) -> Vec<u32> {
         let mut streams = Vec::new();
         for no in self.by_client.remove(&client).unwrap_or_default() {
             let Some(job) = self.jobs.get_mut(&no) else { continue };
-            job.waiters.retain(|w| w.client != client);
+            job.waiters.retain(|waiter| waiter.client != client);
             if !job.waiters.is_empty() || job.background {
                 continue;
             }
@@ -107,7 +110,7 @@
         streams
     }
 
-    /// Cancels a job, unless a worker has it or may have had it.
+    /// Cancels a job, unless a worker runs it or may have run it.
     pub fn cancel(&mut self, no: JobNo) -> Cancellation<W> {
         let Some(job) = self.jobs.get(&no) else { return Cancellation::Unknown };
         if job.running || job.attempts > 0 {
@@ -120,15 +123,16 @@
 
     /// Ends all jobs that are not released, in the order of their numbers.
     pub fn drain(&mut self) -> Vec<EndedJob<W>> {
-        let waiting = |job: &Job<W, P>| !matches!(job.state, State::Released(_));
-        let mut all: Vec<JobNo> = self.jobs.iter().filter(|j| waiting(j.1)).map(|j| *j.0).collect();
-        all.sort_unstable();
-        all.into_iter()
-            .filter_map(|no| {
-                self.leave_state(no);
-                self.remove(no)
-            })
-            .collect()
+        let is_waiting = |job: &Job<W, P>| !matches!(job.state, State::Released(_));
+        let waiting = self.jobs.iter().filter(|(_, job)| is_waiting(job));
+        let mut waiting: Vec<JobNo> = waiting.map(|(no, _)| *no).collect();
+        waiting.sort_unstable();
+        let mut drained = Vec::with_capacity(waiting.len());
+        for no in waiting {
+            self.leave_state(no);
+            drained.extend(self.remove(no));
+        }
+        drained
     }
 
     /// Removes a job from all indexes.
@@ -171,8 +175,8 @@
             }
             State::Released(_) => {
                 queues.released -= 1;
-                queues.running -= job.running as usize;
-                if queues.queued.iter().any(|n| *n > 0) {
+                queues.running -= usize::from(job.running);
+                if queues.has_queued() {
                     let function = job.function;
                     self.mark_ready(function, 0);
                 }
--- a/crates/backlog/src/function.rs
+++ b/crates/backlog/src/function.rs
@@ -1,18 +1,18 @@
-//! One function's queues, and how many of its jobs the decisions are given at a time.
+//! One function's queues, and how many of its jobs are released at a time.
 
 use crate::Micros;
 use crate::job::QueueEntry;
 use std::collections::VecDeque;
 
-/// How many jobs of a function the decisions have at a time.
+/// How many jobs of a function are released at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Window {
-    /// As many as its workers can take within an aim.
+    /// As many as its workers can take within the latency objective.
     Workers {
-        /// The aim of the function's class.
-        aim: Micros,
+        /// The latency objective of the function's class, in microseconds.
+        latency_objective: Micros,
     },
-    /// So many.
+    /// This number.
     Fixed(usize),
     /// All.
     Unlimited,
@@ -21,23 +21,30 @@
 /// A function's settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FunctionSettings {
-    /// Foreground jobs wait too; else a refusal is their last word.
+    /// Whether foreground jobs wait, too; otherwise a rejection ends them.
     pub queued: bool,
-    /// Most that wait, by priority.
+    /// Most queued and scheduled jobs, by priority.
     pub max_queue: [usize; 3],
-    /// How long a foreground job waits.
+    /// How long a foreground job waits for a worker, in microseconds.
     pub max_wait: Micros,
-    /// How long a background job waits, from its submission or its scheduled time.
+    /// How long a background job waits for a worker, from its submission or its scheduled time, in microseconds.
     pub max_wait_background: Micros,
-    /// How long the decisions may take for one release, of a foreground and of a background job.
+    /// How long one release of a job may take, of a foreground and of a background job, in microseconds.
     pub run_timeout: [Micros; 2],
     /// Most attempts that may have run.
     pub max_attempts: u32,
-    /// How many the decisions have at a time.
+    /// How many of its jobs are released at a time.
     pub window: Window,
 }
 
-/// A function's figures.
+impl FunctionSettings {
+    /// How long a job waits for a worker, in microseconds.
+    pub(crate) fn max_wait(&self, is_background: bool) -> Micros {
+        if is_background { self.max_wait_background } else { self.max_wait }
+    }
+}
+
+/// The counts of a function.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Queued jobs by priority, without scheduled ones.
@@ -46,11 +53,11 @@
     pub scheduled: usize,
     /// Released jobs.
     pub released: usize,
-    /// Of those, jobs that a worker has.
+    /// Of those, jobs that a worker runs.
     pub running: usize,
-    /// Workers that take this function.
+    /// Workers that have registered this function.
     pub able: usize,
-    /// It is not taken any more.
+    /// Whether it accepts no further jobs.
     pub closed: bool,
 }
 
@@ -59,9 +66,9 @@
     pub fn jobs(&self) -> usize {
         self.queued.iter().sum::<usize>() + self.scheduled + self.released
     }
-    /// Whether a job waits for a worker, here or with the decisions.
+    /// Whether a job waits for a worker, queued or released.
     pub fn wants_workers(&self) -> bool {
-        self.released > self.running || self.queued.iter().any(|n| *n > 0)
+        self.released > self.running || self.queued.iter().any(|queued| *queued > 0)
     }
 }
 
@@ -74,20 +81,25 @@
     pub scheduled: [usize; 3],
     pub released: usize,
     pub running: usize,
-    /// Workers that take this function; those of them that are free; those that have a job of it.
+    /// Workers that have registered this function.
     pub able: usize,
+    /// Those of them that are free.
     pub free: usize,
+    /// Workers that have a job of this function.
     pub engaged: usize,
     pub closed: bool,
-    /// After a refusal nothing is released for this long, until then.
+    /// The length of the backoff after the last rejection; 0 without one.
     pub backoff: Micros,
+    /// Until then nothing is released.
     pub backoff_until: Micros,
     /// Releases so far, for fairness among functions; raised to the virtual time after an absence.
     pub service: u64,
-    /// Moving average of the time that a run takes; 0 before the first.
+    /// Moving average of the duration of a run, in microseconds; 0 before the first.
     mean_run: f64,
 }
 
+/// Queue entries up to which stale ones are left.
+const MIN_SWEEP: usize = 64;
 /// Weight of a new run in the moving average.
 const MEAN_WEIGHT: f64 = 0.1;
 
@@ -116,27 +128,46 @@
         self.queued[priority] + self.scheduled[priority]
     }
 
-    /// Takes a run of this length into the average.
-    pub fn record_run(&mut self, span: Micros) {
-        let span = span.max(1) as f64;
-        self.mean_run =
-            if self.mean_run == 0.0 { span } else { self.mean_run + MEAN_WEIGHT * (span - self.mean_run) };
+    /// Adds a run of this duration to the average.
+    pub fn record_run(&mut self, duration: Micros) {
+        let duration = duration.max(1) as f64;
+        if self.mean_run == 0.0 {
+            self.mean_run = duration;
+        } else {
+            self.mean_run += MEAN_WEIGHT * (duration - self.mean_run);
+        }
     }
 
-    /// Most jobs that are released at a time: one for each worker that is free or has one, and as many again as the
-    /// busy ones will be free for within half of the aim, a second one each at most. The other half is for the run.
+    /// Most jobs that are released at a time: one for each worker that is free or has a job, and as many more as the
+    /// busy ones will be free for within half of the latency objective, at most one more each. The other half is for the
+    /// run.
     pub fn window(&self) -> usize {
         match self.settings.window {
             Window::Unlimited => usize::MAX,
-            Window::Fixed(n) => n,
-            Window::Workers { aim } => {
-                let ahead =
-                    if self.mean_run > 0.0 { (aim as f64 / 2.0 / self.mean_run).min(1.0) } else { 0.0 };
+            Window::Fixed(jobs) => jobs,
+            Window::Workers { latency_objective } => {
+                let ahead = self.jobs_ahead(latency_objective);
                 self.free + self.engaged + (self.engaged as f64 * ahead) as usize
             }
         }
     }
 
+    /// Jobs that a busy worker can take next within half of the latency objective, from 0 to 1.
+    fn jobs_ahead(&self, latency_objective: Micros) -> f64 {
+        if self.mean_run > 0.0 { (latency_objective as f64 / 2.0 / self.mean_run).min(1.0) } else { 0.0 }
+    }
+
+    /// Ends the backoff.
+    pub fn reset_backoff(&mut self) {
+        self.backoff = 0;
+        self.backoff_until = 0;
+    }
+
+    /// Whether it has a queued job.
+    pub fn has_queued(&self) -> bool {
+        self.queued.iter().any(|queued| *queued > 0)
+    }
+
     pub fn counts(&self) -> Counts {
         Counts {
             queued: self.queued,
@@ -148,11 +179,13 @@
         }
     }
 
-    /// Drops stale entries once they are most of the queues.
+    /// Drops stale entries once they are most of the entries.
     pub fn sweep(&mut self, live: impl Fn(&QueueEntry) -> bool) {
         let entries: usize = self.entries.iter().map(VecDeque::len).sum();
-        if entries > 64 && entries > 2 * self.queued.iter().sum::<usize>() {
-            self.entries.iter_mut().for_each(|queue| queue.retain(&live));
+        if entries > MIN_SWEEP && entries > 2 * self.queued.iter().sum::<usize>() {
+            for queue in &mut self.entries {
+                queue.retain(&live);
+            }
         }
     }
 }
--- a/crates/backlog/src/job.rs
+++ b/crates/backlog/src/job.rs
@@ -6,7 +6,7 @@
 /// Where a job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Its scheduled time has not come.
+    /// Its scheduled time has not been reached.
     Scheduled,
     /// It waits in its queue.
     Queued,
@@ -20,7 +20,7 @@
     /// The client's connection.
     pub client: ClientNo,
     /// What the caller keeps of it.
-    pub with: W,
+    pub context: W,
 }
 
 /// A job that has not ended.
@@ -32,25 +32,25 @@
     pub priority: usize,
     /// Its unique id; empty for none.
     pub unique: Arc<[u8]>,
-    /// It outlives its clients' connections.
+    /// Whether it outlives its clients' connections.
     pub background: bool,
-    /// Who waits for it.
+    /// The clients that wait for it.
     pub waiters: Vec<Waiter<W>>,
     /// Where it is.
     pub state: State,
     /// When it was submitted.
-    pub came: Micros,
-    /// When it has waited too long; while it is scheduled, that time instead, by the wall clock.
+    pub submitted_at: Micros,
+    /// Until when it waits for a worker, by the monotonic clock; while it is scheduled, that time, by the wall clock.
     pub wait_deadline: Micros,
     /// Attempts that may have run.
     pub attempts: u32,
-    /// A worker has it.
+    /// Whether a worker runs it.
     pub running: bool,
-    /// How far it is: numerator and denominator.
+    /// Its progress: numerator and denominator, both 0 if unknown.
     pub progress: (u64, u64),
-    /// What a worker said of its failure.
+    /// The reason that a worker gave for its failure.
     pub exception: Option<Vec<u8>>,
-    /// A worker said that it failed.
+    /// Whether a worker reported that it failed.
     pub failed: bool,
     /// How often it was released.
     pub(crate) releases: u32,
@@ -68,15 +68,15 @@
     pub priority: usize,
     /// Its unique id; empty for none.
     pub unique: Vec<u8>,
-    /// Nobody waits for it, and it outlives its client's connection.
+    /// Whether it outlives its client's connection; nobody waits for it then.
     pub background: bool,
-    /// Who waits for it.
+    /// The clients that wait for it.
     pub waiter: Option<Waiter<W>>,
-    /// Not before this time of the wall clock.
+    /// The scheduled time, by the wall clock; none for at once.
     pub not_before: Option<Micros>,
     /// Bytes of its data.
     pub bytes: usize,
-    /// What is passed on.
+    /// What is forwarded to a worker.
     pub payload: Arc<P>,
 }
 
@@ -90,9 +90,9 @@
     pub attempts: u32,
     /// 0 (high) to 2 (low).
     pub priority: usize,
-    /// When the decisions are to have ended it.
+    /// Until when the decisions must have ended it.
     pub deadline: Micros,
-    /// What is passed on.
+    /// What is forwarded to a worker.
     pub payload: Arc<P>,
 }
 
@@ -101,11 +101,11 @@
 pub enum Ending {
     /// With a worker's result.
     Served,
-    /// Turned away; trying again is harmless.
-    Refused,
+    /// Rejected: it has not run.
+    Rejected,
     /// Failed.
     Failed,
-    /// No answer in time.
+    /// Without an answer in time.
     TimedOut,
 }
 
@@ -119,15 +119,15 @@
 
 /// The result of a cancellation.
 pub enum Cancellation<W> {
-    /// It is cancelled; it was released under this stream, if any.
+    /// It is cancelled. It was released under this stream, if it was released.
     Cancelled(EndedJob<W>, Option<u32>),
-    /// A worker has it, or may have had it.
+    /// Not cancelled: a worker runs it, or may have run it.
     Running,
-    /// There is none of this number.
+    /// There is no job with this number.
     Unknown,
 }
 
-/// A job that has ended, with those who are to be told.
+/// A job that has ended, with the clients to notify.
 #[derive(Debug)]
 pub struct EndedJob<W> {
     /// Its number.
@@ -136,19 +136,19 @@
     pub function: usize,
     /// Its unique id; empty for none.
     pub unique: Arc<[u8]>,
-    /// It was a background job.
+    /// Whether it was a background job.
     pub background: bool,
-    /// Who waits for it.
+    /// The clients that wait for it.
     pub waiters: Vec<Waiter<W>>,
-    /// What a worker said of its failure.
+    /// The reason that a worker gave for its failure.
     pub exception: Option<Vec<u8>>,
     /// Attempts that may have run.
     pub attempts: u32,
-    /// A worker said that it failed.
+    /// Whether a worker reported that it failed.
     pub failed: bool,
 }
 
-/// An entry of a queue. A job that leaves its queue, or moves to another, leaves a stale entry behind.
+/// An entry of a queue. A job that leaves its queue, or moves to another one, leaves a stale entry behind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueEntry {
     pub no: JobNo,
--- a/crates/backlog/src/lib.rs
+++ b/crates/backlog/src/lib.rs
@@ -1,9 +1,9 @@
-//! Jobs that were created and wait for the decisions to place them.
+//! Submitted jobs that wait for the decisions to place them.
 //!
 //! A [`Backlog`] holds the jobs of many functions in bounded queues by priority, joins those with the same unique id,
 //! keeps scheduled ones until their time comes, and releases the oldest to the decisions at the pace at which workers
-//! can take them. It also takes back what the decisions turn away. It decides neither where a job runs nor whether an
-//! attempt is repeated. No I/O, no clock and no random source: times come in as arguments, in microseconds; `now` is
+//! can take them. It also queues rejected jobs again. It decides neither where a job runs nor whether an attempt is
+//! repeated. No I/O, no clock and no random source: times come in as arguments, in microseconds; `now` is
 //! a monotonic clock, `wall` the wall clock, which may step either way.
 
 mod bounds;
@@ -27,20 +27,20 @@
 
 /// Microseconds.
 pub type Micros = i64;
-/// A job's number: new with every job.
+/// The number of a job: another for each job.
 pub type JobNo = u64;
 /// The number of a client's connection.
 pub type ClientNo = u64;
 
 /// Most clients that wait for one job.
 pub const MAX_WAITERS: usize = 256;
-/// Backoff after a refusal, at first and at most: for so long a function's jobs are not released, unless a worker
-/// becomes free.
+/// Backoff after a rejection, at first and at most, in microseconds: for so long a function's jobs are not released,
+/// unless a worker becomes free.
 pub const BACKOFF: [Micros; 2] = [5_000, 500_000];
 /// Bytes that a job takes beside its data.
 pub const JOB_BYTES: usize = 512;
 
-/// The jobs of all functions. `W` is what is kept of a waiting client, `P` what is passed on to a worker.
+/// The jobs of all functions. `W` is what the caller keeps of a waiting client, `P` what is forwarded to a worker.
 pub struct Backlog<W, P> {
     bounds: Bounds,
     functions: Vec<FunctionQueues>,
@@ -49,9 +49,9 @@
     by_client: HashMap<ClientNo, BTreeSet<JobNo>>,
     /// Scheduled jobs by their time, which is one of the wall clock.
     scheduled: BTreeSet<(Micros, JobNo)>,
-    /// Queued jobs by the time at which they have waited too long.
+    /// Queued jobs by their wait deadline.
     wait_deadlines: BTreeSet<(Micros, JobNo)>,
-    /// Functions that may have something to release, by the time from which on.
+    /// Functions that may have a job to release, with the earliest time of that.
     ready_functions: BTreeMap<usize, Micros>,
     bytes: usize,
     next_no: JobNo,
@@ -83,44 +83,54 @@
         self.functions.push(FunctionQueues::new(function));
         self.functions.len() - 1
     }
+
     /// Replaces a function's settings, and opens it if it was closed; its jobs stay.
     pub fn reconfigure(&mut self, function: usize, settings: FunctionSettings) {
         self.functions[function].settings = settings;
         self.functions[function].closed = false;
         self.reconsider(function);
     }
+
     /// Closes a function: it accepts no further jobs; those it has stay.
     pub fn close(&mut self, function: usize) {
         self.functions[function].closed = true;
     }
+
     /// Sets the bounds of a function's queues, by priority.
     pub fn set_max_queue(&mut self, function: usize, max_queue: [usize; 3]) {
         self.functions[function].settings.max_queue = max_queue;
     }
-    /// A function's figures.
+
+    /// The counts of a function.
     pub fn counts(&self, function: usize) -> Counts {
         self.functions[function].counts()
     }
+
     /// A function's settings.
     pub fn settings(&self, function: usize) -> &FunctionSettings {
         &self.functions[function].settings
     }
+
     /// Number of jobs, of all functions.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
+
     /// Whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
-    /// Bytes that the jobs take.
+
+    /// Memory of all jobs, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
+
     /// A job.
     pub fn job(&self, no: JobNo) -> Option<&Job<W, P>> {
         self.jobs.get(&no)
     }
+
     /// The job with a unique id.
     pub fn by_unique(&self, function: usize, unique: &[u8]) -> Option<JobNo> {
         if unique.is_empty() {
@@ -128,10 +138,12 @@
         }
         self.by_unique.get(&(function, Arc::from(unique))).copied()
     }
+
     /// All jobs, in no order.
     pub fn iter(&self) -> impl Iterator<Item = (JobNo, &Job<W, P>)> {
         self.jobs.iter().map(|(no, job)| (*no, job))
     }
+
     /// Number of jobs for which a client waits.
     pub fn jobs_awaited_by(&self, client: ClientNo) -> usize {
         self.by_client.get(&client).map_or(0, BTreeSet::len)
--- a/crates/backlog/src/submit.rs
+++ b/crates/backlog/src/submit.rs
@@ -1,6 +1,7 @@
-//! How jobs come in: as new ones, or joined to the one with the same unique id.
+//! Submissions: a job is new, or joins the one with the same unique id.
 
 use crate::job::{Job, NewJob, State, Waiter};
+use crate::release::QueuePosition;
 use crate::{Backlog, JOB_BYTES, JobNo, MAX_WAITERS, Micros, Rejection};
 use std::sync::Arc;
 
@@ -9,7 +10,7 @@
     ///
     /// # Errors
     /// Why it would be rejected.
-    pub fn check_room(&self, function: usize, priority: usize, bytes: usize) -> Result<(), Rejection> {
+    pub fn check_capacity(&self, function: usize, priority: usize, bytes: usize) -> Result<(), Rejection> {
         let queues = &self.functions[function];
         if queues.closed {
             Err(Rejection::Closed)
@@ -29,13 +30,12 @@
     /// # Errors
     /// Why it is rejected.
     pub fn submit(&mut self, new: NewJob<W, P>, now: Micros) -> Result<JobNo, Rejection> {
-        self.check_room(new.function, new.priority, new.bytes)?;
+        self.check_capacity(new.function, new.priority, new.bytes)?;
         let no = self.next_no;
         self.next_no += 1;
         let settings = &self.functions[new.function].settings;
         let unique: Arc<[u8]> = Arc::from(new.unique);
-        let wait_deadline =
-            now + if new.background { settings.max_wait_background } else { settings.max_wait };
+        let wait_deadline = now + settings.max_wait(new.background);
         let mut job = Job {
             function: new.function,
             priority: new.priority,
@@ -43,7 +43,7 @@
             background: new.background,
             waiters: Vec::new(),
             state: State::Scheduled,
-            came: now,
+            submitted_at: now,
             wait_deadline,
             attempts: 0,
             releases: 0,
@@ -65,27 +65,27 @@
             job.waiters.push(waiter);
         }
         match new.not_before {
-            Some(at) => {
-                // It waits from that time on: see `tick`. Until then its deadline is that time.
-                job.wait_deadline = at;
+            Some(time) => {
+                // It waits for a worker from that time on, see `tick`. Until then that is its deadline.
+                job.wait_deadline = time;
                 self.functions[job.function].scheduled[job.priority] += 1;
-                self.scheduled.insert((at, no));
+                self.scheduled.insert((time, no));
                 self.jobs.insert(no, job);
             }
             None => {
                 self.wait_deadlines.insert((wait_deadline, no));
                 self.jobs.insert(no, job);
-                self.enqueue(no, false);
+                self.enqueue(no, QueuePosition::Tail);
             }
         }
         Ok(no)
     }
 
-    /// Joins another submission of the same function and unique id to the job that is there: that takes the higher of
-    /// the priorities, and stays when its clients leave if either is a background job.
+    /// Joins another submission of the same function and unique id to a job. The job gets the higher of the priorities,
+    /// and outlives its clients' connections if either is a background job.
     ///
     /// # Errors
-    /// Where too many wait for it.
+    /// Too many clients wait for the job, or it has ended.
     pub fn join(
         &mut self,
         no: JobNo,
@@ -105,7 +105,7 @@
         let was_background = job.background;
         job.background |= background;
         if background && !was_background && job.state != State::Scheduled {
-            let wait_deadline = job.came + queues.settings.max_wait_background;
+            let wait_deadline = job.submitted_at + queues.settings.max_wait_background;
             if self.wait_deadlines.remove(&(job.wait_deadline, no)) {
                 self.wait_deadlines.insert((wait_deadline.max(job.wait_deadline), no));
             }
@@ -114,7 +114,7 @@
         if priority < job.priority && job.state == State::Queued {
             queues.queued[job.priority] -= 1;
             job.priority = priority;
-            self.enqueue(no, false);
+            self.enqueue(no, QueuePosition::Tail);
         }
         Ok(())
     }
--- a/dispatcher/src/wire/gearman/function.rs
+++ b/dispatcher/src/wire/gearman/function.rs
@@ -240,5 +240,5 @@
     if is_http {
         return Window::Fixed(HTTP_WINDOW);
     }
-    Window::Workers { aim: objectives.into_iter().min().unwrap_or(SECOND / 5) }
+    Window::Workers { latency_objective: objectives.into_iter().min().unwrap_or(SECOND / 5) }
 }
--- a/dispatcher/src/wire/gearman/job_clients.rs
+++ b/dispatcher/src/wire/gearman/job_clients.rs
@@ -54,7 +54,7 @@
         let ended_by_worker = match ending {
             Ending::Served => true,
             Ending::Failed => job.failed,
-            Ending::Refused | Ending::TimedOut => false,
+            Ending::Rejected | Ending::TimedOut => false,
         };
         let is_lost = has_nobody && !ended_by_worker;
         if is_lost {
@@ -69,7 +69,7 @@
         let head = reply_head(Kind::WorkComplete, &[handle.as_bytes()], result.len());
         let result = Arc::new(result);
         for waiter in &job.waiters {
-            waiter.with.peer.send_final(&self.front, head.clone(), PacketBody::Bytes(result.clone()));
+            waiter.context.peer.send_final(&self.front, head.clone(), PacketBody::Bytes(result.clone()));
         }
     }
 
@@ -80,7 +80,7 @@
             return;
         }
         for waiter in &job.waiters {
-            send(&waiter.with);
+            send(&waiter.context);
         }
     }
 }
@@ -144,7 +144,7 @@
 fn ending_of(answer: &Answer) -> Ending {
     match answer {
         Answer::Served(_) => Ending::Served,
-        Answer::Rejected(_) | Answer::Conflict => Ending::Refused,
+        Answer::Rejected(_) | Answer::Conflict => Ending::Rejected,
         Answer::Failed => Ending::Failed,
         Answer::TimedOut => Ending::TimedOut,
     }
--- a/dispatcher/src/wire/gearman/job_endings.rs
+++ b/dispatcher/src/wire/gearman/job_endings.rs
@@ -34,7 +34,7 @@
     pub fn record(&mut self, ending: Ending) {
         match ending {
             Ending::Served => self.served += 1,
-            Ending::Refused => self.rejected += 1,
+            Ending::Rejected => self.rejected += 1,
             Ending::Failed | Ending::TimedOut => self.failed += 1,
         }
     }
@@ -44,7 +44,7 @@
 pub fn disconnect_client(front: &Gearman, peer: &Peer) {
     let mut jobs = front.jobs.lock();
     let awaited = jobs.backlog.jobs_awaited_by(peer.number) as u64;
-    let streams = jobs.backlog.client_left(peer.number);
+    let streams = jobs.backlog.disconnect_client(peer.number);
     jobs.ends.abandoned += awaited;
     let should_notify = front.should_notify_owner(&mut jobs);
     drop(jobs);
@@ -71,7 +71,7 @@
     pub(super) fn notify_failed(&self, ended: &EndedJob<WaitingClient>, reason: &[u8]) {
         let handle = self.job_handle(ended.no);
         for waiter in &ended.waiters {
-            let client = &waiter.with;
+            let client = &waiter.context;
             if client.wants_exceptions {
                 client.peer.send(reply(Kind::WorkException, &[handle.as_bytes(), reason]));
             }
--- a/dispatcher/src/wire/gearman/job_source.rs
+++ b/dispatcher/src/wire/gearman/job_source.rs
@@ -27,7 +27,7 @@
         let registry = front.functions.load();
         let function = &registry.all[job.function];
         let no_client = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let client = job.waiters.first().map_or(no_client, |waiter| waiter.with.peer.address);
+        let client = job.waiters.first().map_or(no_client, |waiter| waiter.context.peer.address);
         let clients = JobClients {
             front: front.clone(),
             job_no: released.no,
--- a/dispatcher/src/wire/gearman/submission.rs
+++ b/dispatcher/src/wire/gearman/submission.rs
@@ -138,7 +138,7 @@
         function,
         priority: job.priority as usize,
         is_background: job.background,
-        waiter: (!job.background).then(|| Waiter { client: peer.number, with: waiter }),
+        waiter: (!job.background).then(|| Waiter { client: peer.number, context: waiter }),
     };
     // A job that joins another needs no data: the data is laid out only after that.
     if submitter.join_or_check_capacity(unique, data.len())? {
@@ -215,7 +215,7 @@
             self.join(&mut jobs, job_no)?;
             return Ok(true);
         }
-        jobs.backlog.check_room(self.function, self.priority, bytes)?;
+        jobs.backlog.check_capacity(self.function, self.priority, bytes)?;
         Ok(false)
     }
 
