--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,56 +1,56 @@
-//! What the dispatcher asks the caller to do.
+//! Actions that the decision module returns to its caller.
 
 use super::ids::{JobId, Micros, WorkerId};
 
-/// Something to do, in the order given.
+/// An action for the caller to carry out. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         job: JobId,
-        /// The worker that it goes to.
+        /// The worker to send the request to.
         worker: WorkerId,
-        /// Timeout of the attempt in microseconds; 0: until the client gives up.
+        /// Timeout of the attempt in microseconds; 0 means that only the client's deadline applies.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         job: JobId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: rejected, and a retry by the client does no harm.
+    /// Final answer: rejected; the client may retry safely.
     Reject {
         /// The request.
         job: JobId,
-        /// Retry-After advice in microseconds; 0: none.
+        /// Value of Retry-After in microseconds; 0 means none.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have run.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         job: JobId,
     },
-    /// Set a timer that comes back as [`Event::TimerFired`](crate::Event::TimerFired).
+    /// Set a timer, which fires as [`Event::TimerFired`](crate::Event::TimerFired).
     Timer {
-        /// From now, in microseconds.
+        /// Time until it fires, in microseconds.
         delay: Micros,
-        /// Comes back with the event.
+        /// Identifies the timer in the event.
         token: u64,
     },
-    /// Call discovery and watch its endpoint list.
+    /// Call discovery and open a watch on its endpoint list.
     WatchEndpoints,
     /// Send a health check to a worker.
     HealthCheck(WorkerId),
     /// Close the idle connections to a worker.
     CloseIdleConnections(WorkerId),
-    /// Write a line about a worker to the operators' log.
+    /// Write a log line about a worker.
     Log {
-        /// What to write.
+        /// Text of the line.
         message: &'static str,
-        /// The worker.
+        /// The worker concerned.
         worker: WorkerId,
     },
 }
--- a/src/api/class.rs
+++ b/src/api/class.rs
@@ -3,7 +3,7 @@
 use super::endpoint::Endpoint;
 use super::ids::{KindId, Micros};
 
-/// The group of workers that deduplicates the requests with one idempotency key.
+/// The group of workers that share idempotency keys and deduplicate requests by them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All workers.
@@ -15,7 +15,7 @@
 }
 
 impl KeyScope {
-    /// Whether two workers deduplicate each other's requests.
+    /// Whether two workers deduplicate each other's requests under this scope.
     #[must_use]
     pub fn shares_keys(self, a: &Endpoint, b: &Endpoint) -> bool {
         match self {
@@ -26,20 +26,20 @@
     }
 }
 
-/// What running a request more than once does.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be retried at will.
+    /// A second run has no further effect: retries are always safe.
     Idempotent,
     /// The workers of `scope` drop duplicates for `window` after the first attempt that may have run was
     /// sent.
     IdempotencyKey {
-        /// Which workers drop duplicates.
+        /// Which workers drop duplicates of a request.
         scope: KeyScope,
-        /// For how long, in microseconds.
+        /// Deduplication window in microseconds.
         window: Micros,
     },
-    /// It takes effect again, so it must not run twice.
+    /// A second run takes effect again, so the request must not run twice.
     #[default]
     NonIdempotent,
 }
@@ -47,29 +47,30 @@
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Value of a served request, or of a unit of its work with
-    /// [`Settings::weighted_by_work`](crate::Settings::weighted_by_work); without a unit.
+    /// Dimensionless value of a served request, or of a second of its work with
+    /// [`Settings::weighted_by_work`](crate::Settings::weighted_by_work).
     pub priority_weight: f64,
-    /// Share of the value, 0 to 1, that an answer between the latency objective and the deadline earns.
+    /// Fraction of the value, 0 to 1, earned by an answer after the latency objective but before the
+    /// deadline.
     pub late_answer_fraction: f64,
-    /// Latency objective in microseconds: an answer within it, plus `objective_per_work`, earns the full
-    /// value.
+    /// Latency objective in microseconds, to which `objective_per_work` adds. An answer within it earns the
+    /// full value.
     pub latency_objective: Micros,
-    /// Seconds by which the latency objective grows for each second of the request's own work.
+    /// Seconds by which the latency objective grows per second of the request's own work.
     pub objective_per_work: f64,
-    /// For how long the client waits over all of its attempts, in microseconds.
+    /// Total time that the client waits, over all of its attempts, in microseconds.
     pub client_timeout: Micros,
-    /// What running it more than once does.
+    /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
-    /// The answer is a stream, announced by [`Event::StreamAccepted`](crate::Event::StreamAccepted).
+    /// Answers are streamed; [`Event::StreamAccepted`](crate::Event::StreamAccepted) reports their start.
     pub streaming: bool,
-    /// The only machine kind that can run it; `None`: any.
+    /// The only machine kind that can run requests of the class; `None` means any.
     pub kind: Option<KindId>,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all schedulers together.
+    /// Quota in requests per second, over all schedulers together.
     pub quota_per_s: f64,
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -1,19 +1,19 @@
-//! The endpoint list and load reports.
+//! Entries of the endpoint list, and load reports.
 
 use super::ids::{CellId, KindId, Micros, WorkerId, ZoneId};
 
-/// The state of a worker in the endpoint list.
+/// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// Accepts requests.
     Ready,
-    /// Completes the requests that it has; nothing new may be sent.
+    /// Completes the requests in flight; no new ones may be sent.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The worker.
@@ -26,25 +26,25 @@
     pub cell: CellId,
     /// Its machine kind.
     pub kind: KindId,
-    /// Its relative weight, without a unit.
+    /// Its dimensionless relative weight.
     pub units: f64,
-    /// When its process last started; `None`: long ago.
+    /// When its process last started; `None` means long ago.
     pub started_at: Option<Micros>,
 }
 
-/// How the entries of an endpoint list are meant.
+/// How to interpret the entries of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
     /// Only the entries that changed.
     Changes,
-    /// The complete list: absent workers are gone.
+    /// The complete list: workers absent from it are gone.
     Complete,
-    /// A complete list that was cached before the start: it did not come from discovery.
+    /// A complete list that was cached by an earlier process and does not come from discovery.
     Cached,
 }
 
 impl ListMode {
-    /// Whether absent workers are gone.
+    /// Whether workers absent from the list are gone.
     #[must_use]
     pub fn is_complete(self) -> bool {
         matches!(self, ListMode::Complete | ListMode::Cached)
@@ -58,10 +58,10 @@
     pub free_slots: Option<f64>,
     /// Free memory units.
     pub free_memory: Option<f64>,
-    /// The figures were measured some time before the report arrived.
+    /// The values were measured some time before the report arrived.
     pub delayed: bool,
-    /// Share of its cores in use, 0 to 1.
+    /// CPU utilization, as the fraction of its cores in use, 0 to 1.
     pub utilization: Option<f64>,
-    /// Recent service time without queueing, in microseconds.
+    /// Recent service time, excluding queueing, in microseconds.
     pub service_time: Option<Micros>,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the caller tells the dispatcher.
+//! Events that the caller reports to the decision module.
 
 use super::endpoint::{Endpoint, ListMode, LoadReport};
 use super::ids::{ClassId, JobId, KeyId, Micros, TenantId, WorkerId};
@@ -13,29 +13,29 @@
     pub class: ClassId,
     /// Its tenant, if any.
     pub tenant: Option<TenantId>,
-    /// Slots that it takes while it runs.
+    /// Slots that it occupies while it runs.
     pub slots: f64,
-    /// Memory units that it takes while it runs; 0 where memory is not counted.
+    /// Memory units that it occupies while it runs; 0 where memory is not accounted for.
     pub memory: f64,
-    /// Its expected work in seconds on a core of speed 1, if hinted.
+    /// The client's estimate of the work, in seconds on a core of speed 1.
     pub work_hint: Option<f64>,
     /// The data that it needs, if any.
     pub key: Option<KeyId>,
-    /// Time until the client gives up this request, in microseconds.
+    /// Time until the client gives up on this request, in microseconds.
     pub budget: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Answered successfully.
     Ok,
     /// Answered with an error; it may have run.
     Error,
     /// Rejected by the worker; it never ran, unless
-    /// [`Safety::rejection_may_have_run`](crate::Safety::rejection_may_have_run) says otherwise.
+    /// [`Safety::rejection_may_have_run`](crate::Safety::rejection_may_have_run) is set.
     Rejected,
-    /// No answer in time; it may have run or still be running.
+    /// Timed out; it may have run or still be running.
     Timeout,
     /// No connection was established; it never ran.
     ConnectFailed,
@@ -43,12 +43,12 @@
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotStarted,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran, given
+    /// Whether the outcome proves that the attempt never ran. The argument is
     /// [`Safety::rejection_may_have_run`](crate::Safety::rejection_may_have_run).
     #[must_use]
     pub fn never_ran(self, rejection_may_have_run: bool) -> bool {
@@ -59,58 +59,58 @@
     }
 }
 
-/// What a worker reports of an attempt in flight.
+/// A worker's report on an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptUpdate {
     /// The worker has started the request.
     Started,
-    /// This share of it is done, 0 to 1.
+    /// Fraction of the request completed so far, 0 to 1.
     Progress(f64),
 }
 
-/// Something that happened. `attempt` numbers a request's attempts from 0 in the order of
+/// An input to the decision module. `attempt` numbers a request's attempts from 0, in the order of their
 /// [`Action::Send`](crate::Action::Send).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list, or changes of it.
+    /// An endpoint list or an update to it.
     EndpointList {
-        /// How the entries are meant.
+        /// How to interpret the entries.
         mode: ListMode,
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// The watch on the endpoint list, or the call that asked for one, ended; the present list remains.
+    /// The watch on the endpoint list, or the call to open one, ended. The current list stays in use.
     WatchEnded(WatchEnd),
-    /// The operators moved discovery to another address at this time.
+    /// Discovery was moved to another address at this time.
     DiscoveryMoved(Micros),
-    /// A client request arrived; exactly one final answer is owed.
+    /// A client request arrived. It must get exactly one final answer.
     JobArrived(JobRequest),
-    /// An attempt's stream has begun: the client receives it from now on.
+    /// The response stream of an attempt started and is being forwarded to the client.
     StreamAccepted {
         /// The request.
         job: JobId,
         /// The attempt.
         attempt: u32,
     },
-    /// A worker reports on an attempt in flight.
+    /// A worker reported on an attempt in flight.
     AttemptProgress {
         /// The request.
         job: JobId,
         /// The attempt.
         attempt: u32,
-        /// What it reports.
+        /// The report.
         update: AttemptUpdate,
     },
-    /// The worker of an attempt that is about to end may still report on it, by a callback that is late or
-    /// repeated, and such a report could not be distinguished from one on another attempt of the request
-    /// there. Comes before the attempt's [`Event::AttemptEnded`].
+    /// A late or repeated callback for an attempt that is about to end may still arrive from its worker. It
+    /// could not be told apart from a callback for another attempt of the same request at that worker.
+    /// Precedes the attempt's [`Event::AttemptEnded`].
     LateReportPossible {
         /// The request.
         job: JobId,
         /// The worker of the attempt.
         worker: WorkerId,
     },
-    /// An attempt ended; exactly one such event comes for each attempt.
+    /// An attempt ended. There is exactly one such event per attempt.
     AttemptEnded {
         /// The request.
         job: JobId,
@@ -118,28 +118,28 @@
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// The request has concluded: no answer is owed any more.
+        /// The request has concluded and needs no further answer.
         concluded: bool,
-        /// The worker's load report; empty if none came along.
+        /// The worker's load report; empty if the response carried none.
         report: LoadReport,
     },
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected; the request needs no further answer.
     ClientDisconnected(JobId),
-    /// The timer with this token, set with [`Action::Timer`](crate::Action::Timer), fired.
+    /// The timer with this token, set by [`Action::Timer`](crate::Action::Timer), fired.
     TimerFired(u64),
-    /// An operator suspended or restored a worker. While suspended, it counts as draining whatever the
+    /// An operator suspended or restored a worker. A suspended worker counts as draining, whatever the
     /// endpoint list says.
     SuspensionChanged {
-        /// The worker, which need not be listed yet.
+        /// The worker; it may be suspended before it is listed.
         worker: WorkerId,
-        /// Whether it is suspended now.
+        /// Whether it is now suspended.
         suspended: bool,
     },
     /// A health check ended.
     HealthCheckEnded {
         /// The worker.
         worker: WorkerId,
-        /// Whether it answered as healthy.
+        /// Whether the worker responded as healthy.
         ok: bool,
         /// Its load report.
         report: LoadReport,
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Time and identifiers.
+//! Time and identifier types.
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = i64;
@@ -15,21 +15,21 @@
 }
 
 ids! {
-    /// A client request; an id is never used again.
+    /// Identifies a client request. Ids are never reused.
     JobId(u32);
-    /// A worker: the same across restarts of its process and at every scheduler (a hash of its address, for
-    /// example).
+    /// Identifies a worker. The id is the same across restarts of the worker's process and at every
+    /// scheduler; a hash of the worker's address serves.
     WorkerId(u64);
     /// Index into [`Settings::classes`](crate::Settings::classes).
     ClassId(u16);
     /// Index into [`Settings::tenants`](crate::Settings::tenants).
     TenantId(u16);
-    /// A zone (server room).
+    /// Identifies a zone (server room).
     ZoneId(u16);
-    /// A machine kind.
+    /// Identifies a machine kind.
     KindId(u16);
-    /// A group of workers that share the idempotency keys that they have seen.
+    /// Identifies a cell: a group of workers that share the idempotency keys they have seen.
     CellId(u32);
-    /// The data that a request needs. Requests for the same data have equal ids.
+    /// Identifies the data that a request needs. Requests for the same data have equal ids.
     KeyId(u64);
 }
--- a/src/api/limits.rs
+++ b/src/api/limits.rs
@@ -1,27 +1,27 @@
-//! What a site permits, what it charges, and the parameters of its safety rules.
+//! A site's limits, its costs and the parameters of its safety rules.
 
 use super::ids::{Micros, SECOND};
 
-/// What the site permits. The default permits a single attempt of each request and nothing else.
+/// What the site permits. The default permits a single attempt per request and nothing else.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// [`Action::Cancel`](crate::Action::Cancel) is permitted.
     pub cancel: bool,
     /// [`Action::HealthCheck`](crate::Action::HealthCheck) is permitted.
     pub health_checks_allowed: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Two attempts of one request may be in flight at the same time.
     pub hedged_requests: bool,
-    /// Most attempts of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// Idle connections close after this time, in microseconds.
+    /// Time after which idle connections close, in microseconds.
     pub idle_timeout: Micros,
-    /// Concurrent attempts on one connection.
+    /// Maximum number of concurrent attempts per connection.
     pub max_streams: u32,
-    /// A connection that is not established within this time fails, in microseconds.
+    /// Time within which a connection must be established, in microseconds.
     pub connect_timeout: Micros,
-    /// Retry-After advice is given to clients.
+    /// Rejections carry a Retry-After value.
     pub retry_after: bool,
-    /// The longest such advice that clients follow, in microseconds.
+    /// The largest Retry-After value that clients follow, in microseconds.
     pub max_retry_after: Micros,
 }
 
@@ -41,55 +41,56 @@
     }
 }
 
-/// Costs, as multiples of the mean value of a request where nothing else is said.
+/// Costs, as multiples of the mean value of a request unless stated otherwise.
 #[derive(Clone, Debug, Default)]
 pub struct Costs {
-    /// An attempt that crosses zones.
+    /// Sending an attempt to another zone.
     pub cross_zone: f64,
-    /// A new connection.
+    /// Opening a connection.
     pub handshake: f64,
-    /// A fetch of the request's data from its origin.
+    /// Fetching the request's data from its origin.
     pub origin_fetch: f64,
-    /// Work that serves no answer, as a share of that work.
+    /// Work that contributes to no answer, as a fraction of that work.
     pub wasted_work: f64,
-    /// Ending unserved after the latency objective has passed, as a multiple of the request's own value.
+    /// A request that ends unserved after its latency objective, as a multiple of its own value.
     pub late_failure: f64,
-    /// A health check.
+    /// Sending a health check.
     pub health_check: f64,
 }
 
-/// Parameters of the rules on answers, discovery, slow start and retries. By default workers start at full
-/// capacity.
+/// Parameters of the safety rules for answers, discovery, slow start and retries. By default there is no slow
+/// start: workers start at full capacity.
 #[derive(Clone, Debug)]
 pub struct Safety {
-    /// How long after the client's deadline a final answer still counts, in microseconds.
+    /// Grace period after the client's deadline in which a final answer still counts, in microseconds.
     pub answer_grace: Micros,
-    /// Without a watch, the longest time between two polls of discovery, in microseconds.
+    /// Maximum time between two polls of discovery while there is no watch, in microseconds.
     pub poll_interval: Micros,
-    /// The least fraction of its capacity, 0 to 1, with which a worker starts.
+    /// Lower bound of the fraction of its capacity, 0 to 1, with which a worker starts.
     pub initial_capacity_fraction: f64,
-    /// Slow start ends no later than this after a worker's start, in microseconds.
+    /// Upper bound of the duration of slow start, from the start of the worker's process, in microseconds.
     pub slow_start_window: Micros,
-    /// A worker in slow start that is sent more than this multiple of its present capacity ...
+    /// A worker in slow start fails from overload if it is sent more than this multiple of its current
+    /// capacity for `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this time, in microseconds, fails from overload.
+    /// Time for which a worker in slow start bears such a load, in microseconds.
     pub overload_window: Micros,
-    /// Bound on attempts beyond each request's first, where the site has one.
+    /// Limit on retries, if the site has one.
     pub retry_budget: Option<RetryBudget>,
-    /// Idle connections to a draining worker are closed within this time, in microseconds, where the site
-    /// asks for it.
+    /// Time within which idle connections to a draining worker must be closed, in microseconds, if the site
+    /// requires it.
     pub drain_close_timeout: Option<Micros>,
-    /// A worker may answer [`Outcome::Rejected`](crate::Outcome::Rejected) for work that it had begun.
+    /// A worker may answer [`Outcome::Rejected`](crate::Outcome::Rejected) for work that it had started.
     pub rejection_may_have_run: bool,
 }
 
-/// Attempts beyond each request's first that one scheduler may make: in any `window` at most `min_retries`
-/// plus `ratio` for each request that it admitted in that window.
+/// Limit on the retries (attempts after a request's first) of one scheduler: in any `window` at most
+/// `min_retries`, plus `ratio` for each request that it admitted in that window.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed however low the traffic.
+    /// Retries allowed regardless of the request rate.
     pub min_retries: f64,
-    /// Retries allowed for each request admitted.
+    /// Additional retries allowed per admitted request.
     pub ratio: f64,
     /// Length of the sliding window, in microseconds.
     pub window: Micros,
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,12 +1,13 @@
-//! The interface of the decision module: settings, events in, actions out. Nothing here decides anything.
+//! The interface of the decision module: its settings, input events and output actions. It holds data types
+//! only, no decision logic.
 //!
-//! Times are microseconds ([`Micros`]) on the caller's clock, which may start anywhere but never runs
-//! backwards. Work is in seconds on a core of speed 1.
+//! Times are microseconds ([`Micros`]) on the caller's clock, which may have any origin but must be
+//! monotonic. Work is in seconds on a core of speed 1.
 //!
-//! The caller owes the dispatcher exactly one [`Event::AttemptEnded`] for each [`Action::Send`], cancelled or
-//! not, and one [`Event::TimerFired`] for each [`Action::Timer`]. The dispatcher owes exactly one final
-//! answer ([`Action::Reject`] or [`Action::Fail`]) for each [`Event::JobArrived`], unless an attempt's end
-//! has `concluded` set, its stream was accepted, or the client disconnected.
+//! The caller must report exactly one [`Event::AttemptEnded`] for each [`Action::Send`], cancelled or not,
+//! and one [`Event::TimerFired`] for each [`Action::Timer`]. The dispatcher returns exactly one final answer
+//! ([`Action::Reject`] or [`Action::Fail`]) for each [`Event::JobArrived`], unless an attempt ended with
+//! `concluded` set, its stream was accepted, or the client disconnected.
 
 mod action;
 mod class;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -5,16 +5,16 @@
 use super::limits::{Costs, Limits, Safety};
 use roselock_discovery_client::poll_schedule::PollParameters;
 
-/// Assumed duration of one call to discovery, in microseconds, where no other is configured: a twelfth of a
-/// second, which slow discovery services need, too.
+/// Default of [`Settings::list_call_time`], in microseconds: a twelfth of a second, which slow discovery
+/// services need as well.
 pub const DEFAULT_LIST_CALL_TIME: Micros = SECOND / 12;
 
-/// Everything that a scheduler is configured with at its start.
+/// Configuration of a scheduler.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many schedulers share the workers, this one included.
+    /// Number of schedulers that share the workers, including this one.
     pub fleet_size: u32,
-    /// This scheduler's number among them, from 0.
+    /// Index of this scheduler among them, from 0.
     pub instance_index: u32,
     /// This scheduler's zone.
     pub zone: ZoneId,
@@ -22,45 +22,45 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The value of a request counts for each unit of its work in place of each request.
+    /// The value of a request is per second of its work rather than per request.
     pub weighted_by_work: bool,
-    /// Value of a request beyond its tenant's quota, as a fraction of its value, 0 to 1.
+    /// Fraction of its value, 0 to 1, that a request beyond its tenant's quota has.
     pub over_quota_weight: f64,
-    /// Where the site scores tail latency: the share of requests, by class and over some seconds, that may
+    /// If the site scores tail latency: the fraction of requests, by class and over some seconds, that may
     /// miss their latency objective before all of them lose value. A rejection within the latency objective
-    /// is no miss.
+    /// is not a miss.
     pub tail_miss_fraction: Option<f64>,
-    /// Discovery must be called ([`Action::WatchEndpoints`](crate::Action::WatchEndpoints)); otherwise
-    /// changes come unasked.
+    /// Discovery must be called ([`Action::WatchEndpoints`](crate::Action::WatchEndpoints)); otherwise it
+    /// pushes changes unsolicited.
     pub watch_required: bool,
-    /// Whether changes count as notified, received or not, once the watch has been closed for some time, so
-    /// that the endpoint list is held under a lease ([`roselock_discovery_client::lease`]).
+    /// The endpoint list is held under a lease ([`roselock_discovery_client::lease`]): once the watch has
+    /// been closed for some time, changes count as notified even if they were not received.
     pub list_lease_enabled: bool,
-    /// Assumed duration of one call to discovery before the first one, in microseconds; the estimate then
-    /// follows the calls.
+    /// Initial estimate of the duration of a call to discovery, in microseconds. It is updated from the
+    /// calls.
     pub list_call_time: Micros,
-    /// Until discovery has answered, each worker is tried with one request first, and non-idempotent requests
-    /// go only to workers that have answered one.
+    /// Until discovery has answered, each worker first gets a single trial request, and non-idempotent
+    /// requests go only to workers that have answered one.
     pub list_unconfirmed: bool,
     /// [`Endpoint::units`](crate::Endpoint::units) falls as a worker has more requests in flight.
     pub units_fall_with_load: bool,
-    /// Workers report the start of a request.
+    /// Workers report when a request starts.
     pub reports_start: bool,
-    /// Time between two progress updates, in microseconds; 0 if there are none.
+    /// Interval between progress updates, in microseconds; 0 if there are none.
     pub progress_interval: Micros,
-    /// Least time between two steps of this scheduler, in microseconds.
+    /// Minimum time between two steps of this scheduler, in microseconds.
     pub tick: Micros,
-    /// What is permitted.
+    /// What the site permits.
     pub limits: Limits,
-    /// What is charged.
+    /// Costs of attempts, connections and failures.
     pub costs: Costs,
     /// Parameters of the safety rules.
     pub safety: Safety,
 }
 
 impl Settings {
-    /// Settings of a scheduler that has the workers to itself, without tenants, costs or load reports, at a
-    /// site that permits nothing beyond a single attempt. Change the fields that differ.
+    /// Settings of the only scheduler of a site without tenants, costs or load reports that permits nothing
+    /// but a single attempt per request. Callers change the fields that differ.
     #[must_use]
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
@@ -86,8 +86,7 @@
         }
     }
 
-    /// The parameters of the poll schedule: how many schedulers call discovery, which one this is, and how
-    /// often at least.
+    /// The parameters of the schedule by which this scheduler polls discovery.
     #[must_use]
     pub fn poll_parameters(&self) -> PollParameters {
         PollParameters {
--- a/src/api/settings_check.rs
+++ b/src/api/settings_check.rs
@@ -1,28 +1,27 @@
-//! The check of [`Settings`].
+//! Validation of [`Settings`].
 //!
-//! An error names the operator's own key, as the settings' page writes it ([`crate::settings`]), not the
-//! field of the crate.
+//! Errors name the key in the operator's configuration (see [`crate::settings`]) rather than the Rust field.
 
 use super::class::{Class, Idempotency};
 use super::ids::Micros;
 use super::limits::{Costs, Limits, RetryBudget, Safety};
 use super::settings::Settings;
 
-/// A setting whose value is out of its range.
+/// A setting whose value is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field} {problem}")]
 pub struct SettingsError {
-    /// Its key as the operator writes it, such as `lanes[2].promiseS`.
+    /// Key in the operator's configuration, such as `lanes[2].promiseS`.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: &'static str,
 }
 
 impl Settings {
-    /// Checks each value against its range. [`Dispatcher::new`](crate::Dispatcher::new) calls this.
+    /// Checks that each value is within its range. [`Dispatcher::new`](crate::Dispatcher::new) calls this.
     ///
     /// # Errors
-    /// Returns the first setting whose value is out of its range.
+    /// Returns the first setting whose value is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_instance()?;
         check_limits(&self.limits)?;
@@ -46,7 +45,7 @@
         require("lanes", !self.classes.is_empty(), "must not be empty")?;
         require_fraction("overShareWorth", self.over_quota_weight)?;
         require_duration("familyInfo.progressS", self.progress_interval)?;
-        // Not on the settings' page: a key of the dispatcher's own configuration.
+        // `list_call_ms` is a key of the dispatcher's own configuration, not one of the site's settings.
         require_duration("list_call_ms", self.list_call_time)?;
         require("tickS", self.tick > 0, "must be above 0")
     }
@@ -69,7 +68,7 @@
     require_non_negative("costs.probe", costs.health_check)
 }
 
-/// All but the retry budget, whose turn comes after the classes.
+/// Checks all safety parameters except the retry budget, which is checked after the classes.
 fn check_safety(safety: &Safety) -> Result<(), SettingsError> {
     require_duration("safety.graceToAnswerS", safety.answer_grace)?;
     require_duration("safety.askWithinS", safety.poll_interval)?;
@@ -100,8 +99,8 @@
     require_duration("safety.countedOverS", budget.window)
 }
 
-fn require(key: &str, holds: bool, problem: &'static str) -> Result<(), SettingsError> {
-    if holds {
+fn require(key: &str, is_valid: bool, problem: &'static str) -> Result<(), SettingsError> {
+    if is_valid {
         return Ok(());
     }
     Err(SettingsError { field: key.to_owned(), problem })
