--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! A site's settings as they stand in JSON, the same on the simulator's wire and in a dispatcher's
-//! configuration, and their translation into [`Settings`](crate::Settings).
+//! The JSON form of a site's settings, used by the simulator's protocol and in a dispatcher's configuration,
+//! and its conversion into [`Settings`](crate::Settings).
 
 mod ids_by_name;
 mod options;
@@ -11,7 +11,7 @@
 
 use crate::api::{Micros, SECOND};
 
-/// Seconds, as in JSON, to microseconds.
+/// Converts seconds, as used in JSON, to microseconds.
 #[must_use]
 pub fn micros(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round() as Micros
@@ -22,9 +22,9 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The 64-bit FNV-1a hash (G. Fowler, L. C. Noll, K.-P. Vo): the same number for the same bytes in every
-/// process, which the standard library's hashers don't promise. Ids of workers and keys are such hashes. It
-/// doesn't resist chosen collisions.
+/// The 64-bit FNV-1a hash (G. Fowler, L. C. Noll, K.-P. Vo), from which ids of workers and keys are derived.
+/// Unlike the standard library's hashers, it returns the same value in every process. It is not resistant to
+/// chosen collisions.
 #[must_use]
 pub fn fnv(bytes: &[u8]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -1,4 +1,4 @@
-//! [`Options`] translated into [`Settings`].
+//! Conversion of [`Options`] into [`Settings`].
 
 use super::ids_by_name::IdsByName;
 use super::micros;
@@ -8,41 +8,41 @@
     Safety, Settings, Tenant, ZoneId,
 };
 
-/// Why [`Options`] can't be translated.
+/// The reason why [`Options`] cannot be converted into [`Settings`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OptionsError {
-    /// `effect` of a lane is none of the known words.
-    #[error("lanes[].effect of {lane}: unknown {value:?}")]
+    /// `effect` of a lane is not one of the supported values.
+    #[error("lanes[].effect of {lane}: unknown value {value:?}")]
     UnknownEffect {
         /// Name of the lane.
         lane: String,
-        /// What stands there.
+        /// The unknown value.
         value: String,
     },
-    /// `keyScope` of a keyed lane is none of the known words.
-    #[error("lanes[].keyScope of {lane}: unknown {value:?}")]
+    /// `keyScope` of a keyed lane is not one of the supported values.
+    #[error("lanes[].keyScope of {lane}: unknown value {value:?}")]
     UnknownKeyScope {
         /// Name of the lane.
         lane: String,
-        /// What stands there.
+        /// The unknown value.
         value: String,
     },
 }
 
-/// Which of a load report's generic figures hold a quantity.
+/// Which of the generic fields of a load report hold a given quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ReportFigures {
+struct ReportFields {
     in_x0: bool,
     in_x1: bool,
 }
 
-impl ReportFigures {
-    /// The figures whose meaning contains this word.
-    fn that_mean(word: &str, info: &options::FamilyInfo) -> ReportFigures {
-        ReportFigures { in_x0: info.report_x0.contains(word), in_x1: info.report_x1.contains(word) }
+impl ReportFields {
+    /// The fields whose description contains this word.
+    fn described_as(word: &str, info: &options::FamilyInfo) -> ReportFields {
+        ReportFields { in_x0: info.report_x0.contains(word), in_x1: info.report_x1.contains(word) }
     }
 
-    /// The quantity in a report; `x0` has precedence.
+    /// Reads the quantity from a report; `x0` takes precedence.
     fn read(self, report: &WorkerReport) -> Option<f64> {
         if self.in_x0 {
             report.x0
@@ -54,26 +54,26 @@
     }
 }
 
-/// Settings with the names that their ids stand for.
+/// Settings together with the names behind their ids.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// The settings of one scheduler.
     pub settings: Settings,
-    /// Zones by id.
+    /// Ids of the zones.
     pub zones: IdsByName,
-    /// Machine kinds by id.
+    /// Ids of the machine kinds.
     pub kinds: IdsByName,
-    /// Request classes by id.
+    /// Ids of the request classes.
     pub classes: IdsByName,
-    /// Tenants by id.
+    /// Ids of the tenants.
     pub tenants: IdsByName,
-    free_slots: ReportFigures,
-    free_memory: ReportFigures,
+    free_slots: ReportFields,
+    free_memory: ReportFields,
 }
 
 impl Site {
-    /// Whether the ids of classes, tenants, zones and kinds, and the figures of load reports, mean the same
-    /// as in another site.
+    /// Whether the ids of classes, tenants, zones and kinds, and the fields of load reports, have the same
+    /// meaning as in another site.
     #[must_use]
     pub fn has_same_names_as(&self, other: &Site) -> bool {
         self.classes == other.classes
@@ -84,7 +84,7 @@
             && self.free_memory == other.free_memory
     }
 
-    /// The load report that the decisions use, by what the settings say that the figures mean.
+    /// Converts a worker's report, whose generic fields have the meaning given in the settings.
     #[must_use]
     pub fn load_report(&self, report: &WorkerReport) -> LoadReport {
         LoadReport {
@@ -98,7 +98,7 @@
 }
 
 impl Options {
-    /// Translates the options into settings. Their values aren't checked: [`Settings::check`] does that.
+    /// Converts the options into settings without checking their ranges, which [`Settings::check`] does.
     ///
     /// # Errors
     /// Returns [`OptionsError`] if a lane has an unknown `effect` or `keyScope`.
@@ -113,8 +113,8 @@
             kinds: IdsByName::new(self.kinds.clone()),
             classes: IdsByName::new(class_names),
             tenants: IdsByName::new(tenant_names),
-            free_slots: ReportFigures::that_mean("slot", &self.family_info),
-            free_memory: ReportFigures::that_mean("memory", &self.family_info),
+            free_slots: ReportFields::described_as("slot", &self.family_info),
+            free_memory: ReportFields::described_as("memory", &self.family_info),
         })
     }
 
@@ -146,8 +146,8 @@
         })
     }
 
-    /// The fleet's size; at least this scheduler's number plus one, if one is given at all: a scheduler that
-    /// has a later number than the size allows shows that the size is out of date.
+    /// The fleet size, raised to this scheduler's index plus one if needed: an index beyond the stated size
+    /// shows that the size is out of date. A size of 0 (not stated) is left for the check to report.
     fn effective_fleet_size(&self) -> u32 {
         if self.fleet_size == 0 {
             return 0;
