--- a/src/state/discovery.rs
+++ b/src/state/discovery.rs
@@ -1,26 +1,25 @@
-//! The endpoint list: when it is polled, how long it may be acted on, and which workers are suspended by
-//! hand.
+//! State of the endpoint list: its poll schedule, its lease, and the workers suspended by an operator.
 
 use crate::api::*;
 use roselock_discovery_client::lease::ListLease;
 use roselock_discovery_client::poll_schedule::PollSchedule;
 use std::collections::BTreeMap;
 
-/// What is known of the discovery service and its list.
+/// What is known about discovery and its endpoint list.
 pub(crate) struct DiscoveryState {
     /// When discovery is polled.
     pub(crate) poll_schedule: PollSchedule,
-    /// How long the list may be acted on.
+    /// How long the list may be used without contact to discovery.
     pub(crate) lease: ListLease,
-    /// Discovery has sent its list: a start that it reports from now on is a new one.
+    /// Discovery has sent its list, so that any start it reports from now on is a new one.
     pub(crate) synchronized: bool,
-    /// The list is a cached one that discovery has not confirmed yet, and that calls for care.
+    /// The list is a cached one that discovery has not confirmed yet, so it must be used with care.
     pub(crate) unconfirmed: bool,
-    /// The workers suspended by hand, with their last listed state, if they were listed.
+    /// The workers suspended by an operator, each with its last listed state, if it was listed.
     pub(crate) suspended: BTreeMap<WorkerId, Option<EndpointState>>,
 }
 
-/// The lease on the list at the start.
+/// The lease on the list before the first answer of discovery.
 fn initial_lease(settings: &Settings) -> ListLease {
     let connect_timeout = settings.limits.connect_timeout;
     if !settings.list_lease_enabled {
@@ -38,22 +37,23 @@
             poll_schedule: PollSchedule::new(settings.list_call_time),
             lease: initial_lease(settings),
             synchronized: false,
-            // Where discovery is not polled, nobody ever confirms.
+            // Without polls the list would never be confirmed.
             unconfirmed: settings.list_unconfirmed && settings.watch_required,
             suspended: BTreeMap::new(),
         }
     }
 
-    /// Discovery has answered; whether that confirms a list that was unconfirmed until now.
+    /// Records an answer of discovery; returns whether it confirms a list that was unconfirmed until now.
     pub(crate) fn record_answer(&mut self, now: Micros) -> bool {
         self.lease.renew();
         self.poll_schedule.record_answer(now) && std::mem::take(&mut self.unconfirmed)
     }
 
-    /// When a process started of which the list has a new start, by our own clock. Any clock may be stepped:
-    /// that of the worker's machine, the list's and our own wall clock. A listed time is believed where our
-    /// steady clock confirms it, which is the time since the list was in sync; otherwise the process has
-    /// started now. Before the first answer of discovery nothing confirms it, nor contradicts it.
+    /// Start time, on this dispatcher's clock, of a process for which the list gives a new start time. The
+    /// wall clocks of the worker's machine, of discovery and of this dispatcher may all be stepped, so a
+    /// listed time is accepted only if the monotonic clock confirms it, that is, if it lies between the last
+    /// time the list was in sync and now. Otherwise the process is taken to have started now. Before the
+    /// first answer of discovery, nothing confirms or contradicts the listed time, and it is accepted.
     pub(crate) fn start_time(&self, listed: Option<Micros>, now: Micros) -> Option<Micros> {
         if !self.synchronized {
             return listed.map(|started_at| started_at.min(now));
@@ -63,8 +63,8 @@
         Some(confirmed.unwrap_or(now))
     }
 
-    /// The lines of a list with suspended workers draining, whatever the list says; its state there is kept
-    /// for later.
+    /// Returns the entries of a list with suspended workers marked as draining, and keeps their listed state
+    /// for when they are restored.
     pub(crate) fn apply_suspensions(&mut self, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let mut applied = endpoints.to_vec();
         for endpoint in &mut applied {
--- a/src/state/health.rs
+++ b/src/state/health.rs
@@ -1,45 +1,48 @@
-//! The health of a worker: its errors, its ejection as an outlier, and inferred restarts of its process.
+//! The health of a worker: its success rate, its ejection as an outlier, and inferred restarts of its
+//! process.
 
 use super::estimates::DecayingMean;
 use crate::api::{Micros, SECOND};
 
-/// Time constant of failures, in microseconds.
-const HEALTH_MEMORY: f64 = 5e6;
-/// Successes that count before any answer: few, so that one error shows.
+/// Time constant with which failures decay.
+const FAILURE_TIME_CONSTANT_US: f64 = 5e6;
+/// Weight of the prior, in successes; small, so that a single error has a visible effect.
 const PRIOR_SUCCESSES: f64 = 0.3;
-/// The most that failures may weigh.
+/// Upper bound of the weight of failures.
 const MAX_FAILURE_WEIGHT: f64 = 4.0;
-/// Backoff between trials of a worker, in microseconds: the first and the longest.
-const FIRST_BACKOFF: Micros = SECOND / 2;
+/// First backoff between trials of a worker, in microseconds.
+const INITIAL_BACKOFF: Micros = SECOND / 2;
+/// Longest backoff between trials of a worker, in microseconds.
 const MAX_BACKOFF: Micros = 4 * SECOND;
 
-/// Doubles a backoff within its bounds.
+/// Doubles a backoff, within its bounds.
 fn next_backoff(backoff: Micros) -> Micros {
-    (backoff * 2).clamp(FIRST_BACKOFF, MAX_BACKOFF)
+    (backoff * 2).clamp(INITIAL_BACKOFF, MAX_BACKOFF)
 }
 
-/// What is known of the health of a worker.
+/// Health of a worker as seen by this dispatcher.
 pub(crate) struct Health {
-    /// Recent successes, each counted as a half and 1 at most.
+    /// Weight of recent successes, 0.5 each and at most 1 in total.
     successes: f64,
     failures: DecayingMean,
-    /// After an error no trial before this time.
-    pub(crate) retry_after_error: Option<Micros>,
-    /// By how much the next error puts trials off, in microseconds.
+    /// No trial is sent before this time, because of an error.
+    pub(crate) error_backoff_until: Option<Micros>,
+    /// Backoff after the next error, in microseconds.
     error_backoff: Micros,
-    /// Ejected as silent or unreachable: no send before this time, then single trials.
+    /// Ejected because it is unresponsive or unreachable: nothing is sent before this time, and single trials
+    /// thereafter.
     pub(crate) ejected_until: Option<Micros>,
-    /// The length of the latest ejection in microseconds; 0 if it was none.
+    /// Duration of the latest ejection in microseconds; 0 if there was none since the last response.
     pub(crate) ejection_backoff: Micros,
-    /// A trial of the ejected worker is in flight.
+    /// A trial is in flight at the ejected worker.
     pub(crate) trial_in_flight: bool,
-    /// When its process was last seen to be down.
+    /// When its process was last inferred to be down.
     pub(crate) down_at: Option<Micros>,
-    /// A reset connection is the only sign that it was down.
+    /// `down_at` rests on a connection reset alone.
     pub(crate) reset_is_only_sign: bool,
     /// When it last responded.
     pub(crate) last_response_at: Micros,
-    /// When it was last sent a health check.
+    /// When the last health check was sent to it.
     pub(crate) checked_at: Micros,
 }
 
@@ -48,7 +51,7 @@
         Health {
             successes: 1.0,
             failures: DecayingMean::default(),
-            retry_after_error: None,
+            error_backoff_until: None,
             error_backoff: 0,
             ejected_until: None,
             ejection_backoff: 0,
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Any response ends the ejection. The process was there at `up_at` and is now: it has not restarted
-    /// since, if a reset connection was the only sign of that.
+    /// Records a response, which ends an ejection. The process was up at `up_at` and is up now, so a down
+    /// time in between that rests on a connection reset alone is discarded: the process has not restarted.
     pub(crate) fn record_response(&mut self, up_at: Micros, now: Micros) {
         self.last_response_at = now;
         self.ejected_until = None;
@@ -73,33 +76,34 @@
         }
     }
 
-    /// Probability that a job sent there is answered, by its own record alone.
+    /// Probability that a job sent to the worker succeeds, from the worker's own record alone.
     pub(crate) fn success_probability(&self, now: Micros) -> f64 {
         let successes = self.successes + PRIOR_SUCCESSES;
-        successes / (successes + self.failures.current_weight(now, HEALTH_MEMORY))
+        successes / (successes + self.failures.current_weight(now, FAILURE_TIME_CONSTANT_US))
     }
 
-    /// Records an answer.
+    /// Records a successful answer.
     pub(crate) fn record_success(&mut self, now: Micros) {
-        self.failures.add(0.0, 0.0, now, HEALTH_MEMORY);
+        self.failures.add(0.0, 0.0, now, FAILURE_TIME_CONSTANT_US);
         self.successes = (self.successes + 0.5).min(1.0);
         self.failures.weight *= 0.5;
-        // One error is chance: only a worker that fails again before two answers is put off.
+        // A single error may be chance. Only a worker that fails again before two successful answers is
+        // backed off from.
         if self.successes >= 1.0 {
             self.error_backoff = 0;
         }
     }
 
-    /// Records an error. It voids the successes: a worker that fails quickly looks cheap.
+    /// Records an error and resets the successes: a worker that fails fast would otherwise look cheap.
     pub(crate) fn record_error(&mut self, now: Micros) {
-        self.failures.add(0.0, 1.0, now, HEALTH_MEMORY);
-        self.retry_after_error = Some(now + self.error_backoff);
+        self.failures.add(0.0, 1.0, now, FAILURE_TIME_CONSTANT_US);
+        self.error_backoff_until = Some(now + self.error_backoff);
         self.error_backoff = next_backoff(self.error_backoff);
         self.successes = 0.0;
         self.failures.weight = self.failures.weight.min(MAX_FAILURE_WEIGHT);
     }
 
-    /// Ejects the worker for a time that grows with each ejection in a row.
+    /// Ejects the worker for a time that doubles with each consecutive ejection, up to a maximum.
     pub(crate) fn eject(&mut self, now: Micros) {
         self.ejection_backoff = next_backoff(self.ejection_backoff);
         self.ejected_until = Some(now + self.ejection_backoff);
@@ -110,22 +114,22 @@
         self.ejected_until.is_some()
     }
 
-    /// Whether a single trial may start: after the ejection, or at an idle worker that is `sound` or whose
-    /// backoff after an error is over.
-    pub(crate) fn allows_trial(&self, idle: bool, sound: bool, now: Micros) -> bool {
+    /// Whether a single trial may be sent: when the ejection time is over, or to an idle worker that is
+    /// healthy or whose backoff after an error is over.
+    pub(crate) fn allows_trial(&self, is_idle: bool, is_healthy: bool, now: Micros) -> bool {
         match self.ejected_until {
             Some(until) => now >= until && !self.trial_in_flight,
-            None => idle && (sound || self.retry_after_error.is_none_or(|until| now >= until)),
+            None => is_idle && (is_healthy || self.error_backoff_until.is_none_or(|until| now >= until)),
         }
     }
 
-    /// Whether the worker is ejected or backing off after an error at this moment.
+    /// Whether the ejection time or the backoff after an error is still running.
     pub(crate) fn is_avoided(&self, now: Micros) -> bool {
-        let is_later = |until: Option<Micros>| until.is_some_and(|until| until > now);
-        is_later(self.ejected_until) || is_later(self.retry_after_error)
+        let is_running = |until: Option<Micros>| until.is_some_and(|until| until > now);
+        is_running(self.ejected_until) || is_running(self.error_backoff_until)
     }
 
-    /// When the process was last seen to be down, if that was within the latest `span`.
+    /// When the process was last inferred to be down, if that was less than `span` ago.
     pub(crate) fn down_within(&self, span: Micros, now: Micros) -> Option<Micros> {
         self.down_at.filter(|down_at| now - down_at < span)
     }
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -1,9 +1,9 @@
-//! Jobs, their attempts, and the queue of those that wait for a send.
+//! Jobs, their attempts, and the queue of jobs waiting to be sent.
 
 use crate::api::*;
 use std::collections::BTreeMap;
 
-/// The class of a tenant's jobs.
+/// Tenant and request class of a job.
 pub(crate) type TenantClass = (Option<TenantId>, ClassId);
 
 /// One attempt of a job.
@@ -13,26 +13,26 @@
     pub(crate) worker: usize,
     pub(crate) sent_at: Micros,
     pub(crate) started_at: Option<Micros>,
-    /// When the worker last said something of this attempt; the time of the send at first.
+    /// When the worker last reported on this attempt; initially the time of the send.
     pub(crate) last_update_at: Micros,
     /// Expected run time in microseconds.
     pub(crate) expected_run: f64,
-    /// Own slots booked at the worker before this attempt.
+    /// Slots that this dispatcher had booked at the worker before this attempt.
     pub(crate) booked_before: f64,
     /// Sent and not ended.
     pub(crate) in_flight: bool,
-    /// Its booking at the worker still counts.
+    /// Its booking at the worker is still valid.
     pub(crate) booked: bool,
-    /// It is proven that it never ran.
+    /// It has been proven not to have run.
     pub(crate) never_ran: bool,
-    /// How long it may stay without a start before it is withdrawn, in microseconds.
+    /// Time within which it must start or is withdrawn, in microseconds.
     pub(crate) start_timeout: Micros,
-    /// It was withdrawn for want of a start.
+    /// It was withdrawn because it did not start in time.
     pub(crate) withdrawn: bool,
 }
 
 impl Attempt {
-    /// Whether it still holds a booking at a worker that hasn't answered yet.
+    /// Whether it is in flight and holds a valid booking at its worker.
     pub(crate) fn holds_booking(&self) -> bool {
         self.in_flight && self.booked
     }
@@ -43,26 +43,26 @@
 pub(crate) struct Job {
     /// Index into the settings' classes.
     pub(crate) class: usize,
-    /// What a repeat does, by the settings when it arrived: new settings are for the jobs after them.
+    /// Idempotency of the class when the job arrived. New settings apply only to jobs that arrive later.
     pub(crate) idempotency: Idempotency,
     pub(crate) tenant_class: TenantClass,
-    /// Slots and memory units.
+    /// Required slots and memory units.
     pub(crate) need: [f64; 2],
     /// Expected work in seconds at speed 1.
     pub(crate) work: f64,
-    /// The work was stated by the client.
+    /// The client gave a work hint.
     pub(crate) hinted: bool,
     pub(crate) key: Option<KeyId>,
-    /// Workers where its data is likely cached, the likeliest first.
+    /// Indices of the workers that have probably cached its data, the most probable first.
     pub(crate) cached_on: [Option<usize>; 2],
     pub(crate) arrived_at: Micros,
-    /// When its client made its first attempt, as far as known.
+    /// When the client made its own first attempt, as far as known.
     pub(crate) first_asked_at: Micros,
     pub(crate) deadline: Micros,
-    /// Priority weight as a multiple of the mean one.
+    /// Priority weight as a multiple of the mean priority weight.
     pub(crate) relative_weight: f64,
     pub(crate) attempts: Vec<Attempt>,
-    /// Workers that may still report on an attempt that has ended.
+    /// Indices of the workers that may still report on an attempt that has ended.
     pub(crate) late_report_possible_from: Vec<usize>,
     pub(crate) waiting: bool,
     pub(crate) streaming: bool,
@@ -75,7 +75,7 @@
         self.attempts.iter().filter(|attempt| !attempt.never_ran)
     }
 
-    /// Whether its class allows one more attempt after the earlier ones.
+    /// Whether its idempotency allows another attempt after the earlier ones.
     pub(crate) fn is_repeatable(&self, now: Micros) -> bool {
         let Some(first_run) = self.possible_runs().next() else { return true };
         match self.idempotency {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A run time of the job in microseconds.
+    /// A sample with this run time, in microseconds, of the job.
     pub(crate) fn run_time_sample(&self, run_time: f64, weight: f64) -> RunTimeSample {
         RunTimeSample { class: self.class, work: self.work, hinted: self.hinted, run_time, weight }
     }
@@ -100,23 +100,24 @@
     }
 }
 
-/// A run time seen, in full or extrapolated from progress.
+/// An observed run time, either complete or extrapolated from progress.
 pub(crate) struct RunTimeSample {
     /// Index into the settings' classes.
     pub(crate) class: usize,
-    /// Expected work in seconds at speed 1, and whether a hint says so.
+    /// Expected work in seconds at speed 1.
     pub(crate) work: f64,
+    /// The work comes from a hint of the client.
     pub(crate) hinted: bool,
-    /// In microseconds.
+    /// Run time in microseconds.
     pub(crate) run_time: f64,
     pub(crate) weight: f64,
 }
 
-/// All jobs that are not forgotten yet, and the order of those that wait for a send.
+/// All current jobs, and the queue of those waiting to be sent.
 #[derive(Default)]
 pub(crate) struct JobTable {
     pub(crate) by_id: BTreeMap<JobId, Job>,
-    /// In the order of arrival or of their return to the queue.
+    /// Waiting jobs in the order in which they were queued or requeued.
     pub(crate) waiting: Vec<JobId>,
 }
 
@@ -129,20 +130,20 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Puts a job that waits for its first send into the table and the queue.
+    /// Adds a new job to the table and to the queue.
     pub(crate) fn insert_waiting(&mut self, id: JobId, job: Job) {
         self.by_id.insert(id, job);
         self.waiting.push(id);
     }
 
-    /// Puts a known job into the queue again.
+    /// Puts a job back into the queue.
     pub(crate) fn requeue(&mut self, id: JobId) {
         let Some(job) = self.by_id.get_mut(&id) else { return };
         job.waiting = true;
         self.waiting.push(id);
     }
 
-    /// Takes a job off the queue.
+    /// Removes a job from the queue.
     pub(crate) fn stop_waiting(&mut self, id: JobId) {
         let Some(job) = self.by_id.get_mut(&id) else { return };
         if std::mem::take(&mut job.waiting) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// The job's answer has begun: its stream belongs to the client now.
+    /// Marks a job as streaming and removes it from the queue: the client is receiving its answer.
     pub(crate) fn stream_accepted(&mut self, id: JobId) {
         self.stop_waiting(id);
         if let Some(job) = self.by_id.get_mut(&id) {
@@ -158,14 +159,14 @@
         }
     }
 
-    /// A worker may still report on an attempt of the job that is about to end.
+    /// Records that a worker may still report on an attempt of the job that is about to end.
     pub(crate) fn expect_late_report(&mut self, id: JobId, worker: Option<usize>) {
         if let Some(job) = self.by_id.get_mut(&id) {
             job.late_report_possible_from.extend(worker);
         }
     }
 
-    /// Voids the bookings at a worker whose process was replaced.
+    /// Invalidates the bookings at a worker whose process was replaced.
     pub(crate) fn void_bookings(&mut self, worker: usize) {
         for job in self.by_id.values_mut() {
             for attempt in job.attempts.iter_mut().filter(|attempt| attempt.worker == worker) {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the dispatcher knows: its jobs, workers, estimates, prices and the endpoint list. Each part updates
-//! itself; what follows from them is decided in [`crate::decisions`].
+//! State of the decision module: jobs, workers, estimates, prices and the endpoint list. Each module updates
+//! its own state; decisions based on it are made in [`crate::decisions`].
 
 pub(crate) mod capacity;
 pub(crate) mod discovery;
--- a/src/state/prices.rs
+++ b/src/state/prices.rs
@@ -1,20 +1,20 @@
-//! Prices of slots and memory along the look-ahead, and the history of columns that they are learned from.
+//! Prices of slots and memory over the horizon, and the history of columns from which they are learned.
 
 use super::resources::{MEMORY, RESOURCES, SLOT};
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// Look-ahead of the prices, in ticks: longer runs are priced as if they ended there.
+/// Price horizon in ticks. Longer runs are priced as if they ended there.
 pub(crate) const HORIZON: usize = 16;
-/// Length of the payoff window in ticks; its end is moved on by as much when it is reached.
+/// Length of the payoff window in ticks. When its end is reached, a new window of this length begins.
 pub(crate) const WINDOW: f64 = 256.0;
-/// Columns kept, to span several turnovers of the capacity of a small fleet.
-const HISTORY: usize = 64;
+/// Number of columns kept, enough to span several turnovers of the capacity of a small fleet.
+const MAX_HISTORY_COLUMNS: usize = 64;
 
-/// A figure for each resource and tick of the look-ahead.
+/// A value per resource and tick of the horizon.
 pub(crate) type ResourceTimeline = [[f64; HORIZON]; 2];
 
-/// Adds a column: `need` along `ticks` from tick `from` on.
+/// Adds a column to a timeline: `need` for `ticks` ticks, starting at tick `from`.
 pub(crate) fn add_column(timeline: &mut ResourceTimeline, need: [f64; 2], from: usize, ticks: f64) {
     for (row, need) in timeline.iter_mut().zip(need) {
         for (tick, sum) in row.iter_mut().enumerate().skip(from) {
@@ -23,26 +23,27 @@
     }
 }
 
-/// A column of the history, relative to its start, so that it stands for a like job that starts at any tick.
+/// A column of the history. It is relative to its start and so represents a similar job that starts at any
+/// tick.
 pub(crate) struct HistoryColumn {
     /// Index of the worker.
     pub(crate) worker: usize,
-    /// In mean priority weights.
+    /// Payoff in mean priority weights.
     pub(crate) payoff: f64,
-    /// Slots and memory units.
+    /// Required slots and memory units.
     pub(crate) need: [f64; 2],
-    /// Length of the run.
+    /// Run time in ticks.
     pub(crate) ticks: f64,
 }
 
-/// The prices at one worker, in mean priority weights for a unit and tick.
+/// The prices at one worker, in mean priority weights per resource unit and tick.
 pub(crate) struct WorkerPrices {
     pub(crate) price: ResourceTimeline,
     /// Prefix sums of `price`.
     price_sums: [[f64; HORIZON + 1]; 2],
-    /// Capacity left along the look-ahead, as of the last price update.
+    /// Residual capacity over the horizon, as of the last price update.
     pub(crate) residual: ResourceTimeline,
-    /// Its use by the sampled columns.
+    /// Demand of the sampled columns since the last gradient step.
     pub(crate) used: ResourceTimeline,
 }
 
@@ -63,7 +64,7 @@
         self.price_sums.iter().any(|sums| sums[HORIZON] > 0.0)
     }
 
-    /// Price of `need` along `ticks` from tick `from` on.
+    /// Price of `need` for `ticks` ticks, starting at tick `from`.
     pub(crate) fn column_cost(&self, need: [f64; 2], from: usize, ticks: f64) -> f64 {
         let slot_cost = need[SLOT] * self.unit_cost(SLOT, from, ticks);
         let memory_cost =
@@ -71,16 +72,16 @@
         slot_cost + memory_cost
     }
 
-    /// Price of one unit of a resource along `ticks` from tick `from` on.
+    /// Price of one unit of a resource for `ticks` ticks, starting at tick `from`.
     fn unit_cost(&self, resource: usize, from: usize, ticks: f64) -> f64 {
         let end = (from as f64 + ticks).min(HORIZON as f64);
-        let whole = end as usize;
-        let part = end.fract();
-        let tail = if part > 0.0 { part * self.price[resource][whole] } else { 0.0 };
-        self.price_sums[resource][whole] + tail - self.price_sums[resource][from]
+        let whole_ticks = end as usize;
+        let fraction = end.fract();
+        let last_tick = if fraction > 0.0 { fraction * self.price[resource][whole_ticks] } else { 0.0 };
+        self.price_sums[resource][whole_ticks] + last_tick - self.price_sums[resource][from]
     }
 
-    /// Drops past ticks; the far end starts from the price before it.
+    /// Drops the prices of past ticks, and fills the end of the horizon with the last known price.
     pub(crate) fn advance(&mut self, ticks: usize) {
         for price in &mut self.price {
             price.rotate_left(ticks);
@@ -90,7 +91,7 @@
         self.update_price_sums();
     }
 
-    /// To be called after each change of `price`.
+    /// Recomputes the prefix sums; required after each change of `price`.
     pub(crate) fn update_price_sums(&mut self) {
         for (price, sums) in self.price.iter().zip(self.price_sums.iter_mut()) {
             for tick in 0..HORIZON {
@@ -99,9 +100,9 @@
         }
     }
 
-    /// One projected gradient step, and the use by the sampled columns starts again from nothing. A gradient
-    /// counts in shares of the worker's capacity, at most 1: otherwise a large backlog lets the residual's
-    /// part vanish, and prices stay high over idle workers.
+    /// Takes one projected gradient step and resets the demand of the sampled columns. The gradient is scaled
+    /// to the worker's capacity and clamped to ±1; otherwise a large backlog would make the residual's share
+    /// vanish, and prices would stay high at idle workers.
     pub(crate) fn take_gradient_step(&mut self, totals: [f64; 2], step: &GradientStep) {
         for resource in RESOURCES {
             let unit = step.expected_starts / totals[resource].max(1.0);
@@ -117,29 +118,29 @@
     }
 }
 
-/// What the price steps of one update have in common.
+/// Parameters shared by the gradient steps of one price update.
 pub(crate) struct GradientStep {
-    /// Starts expected within the look-ahead.
+    /// Expected number of starts within the horizon.
     pub(crate) expected_starts: f64,
-    /// Columns sampled for each step.
+    /// Number of columns sampled per step.
     pub(crate) columns: f64,
-    /// η, scaled to a tick.
+    /// Learning rate η, scaled to a tick.
     pub(crate) rate: f64,
 }
 
-/// The clock of the prices and the columns that they are learned from.
+/// Timing of the price updates, and the columns from which prices are learned.
 pub(crate) struct PriceState {
-    /// The latest first.
+    /// The latest columns, newest first.
     pub(crate) history: VecDeque<HistoryColumn>,
-    /// Workers with a price above 0 or sampled columns, in the order of their indices.
+    /// Sorted indices of the workers that have a price above 0 or sampled columns.
     pub(crate) active_workers: Vec<usize>,
     /// Length of a tick in microseconds.
     pub(crate) tick: Micros,
-    /// Number of the first tick of the look-ahead.
+    /// Number of the first tick of the horizon.
     pub(crate) first_tick: Micros,
-    /// End T of the payoff window, as the number of a tick.
+    /// End T of the payoff window, as a tick number.
     pub(crate) window_end: f64,
-    /// When the prices were last updated.
+    /// Time of the last price update.
     pub(crate) updated_at: Micros,
 }
 
@@ -155,14 +156,14 @@
         }
     }
 
-    /// Starts the clock, with an update due at once.
+    /// Initializes the times. The first update is due immediately.
     pub(crate) fn start(&mut self, now: Micros) {
         self.first_tick = now / self.tick;
         self.updated_at = now - self.tick;
         self.window_end = (now / self.tick) as f64 + WINDOW;
     }
 
-    /// Moves on to the present tick; by how many ticks of the look-ahead.
+    /// Advances to the current tick; returns the number of ticks of the horizon that have passed.
     pub(crate) fn advance(&mut self, now: Micros) -> usize {
         let tick = now / self.tick;
         let passed = (tick - self.first_tick).clamp(0, HORIZON as Micros - 1) as usize;
@@ -173,16 +174,16 @@
         passed
     }
 
-    /// Whether half a tick has passed since the last update.
+    /// Whether at least half a tick has passed since the last update.
     pub(crate) fn update_is_due(&self, now: Micros) -> bool {
         now - self.updated_at >= self.tick / 2
     }
 
-    /// Puts a column into the history.
+    /// Adds a column, if there is one, to the history.
     pub(crate) fn record(&mut self, column: Option<HistoryColumn>) {
         if let Some(column) = column {
             self.history.push_front(column);
         }
-        self.history.truncate(HISTORY);
+        self.history.truncate(MAX_HISTORY_COLUMNS);
     }
 }
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -1,8 +1,8 @@
 //! The resources of a worker: slots and memory.
 
-/// Index of the slots in a figure for each resource.
+/// Index of slots in arrays with an element per resource.
 pub(crate) const SLOT: usize = 0;
-/// Index of the memory in a figure for each resource.
+/// Index of memory in arrays with an element per resource.
 pub(crate) const MEMORY: usize = 1;
-/// The resources of a worker.
+/// Indices of all resources.
 pub(crate) const RESOURCES: [usize; 2] = [SLOT, MEMORY];
--- a/src/state/workers.rs
+++ b/src/state/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: what each holds of ours, its capacity, run times, connections and recent jobs.
+//! State of each worker: bookings, capacity, timing, connections and recent jobs.
 
 use super::capacity::{CapacityEstimate, StartEvidence};
 use super::estimates::DecayingMean;
@@ -9,46 +9,47 @@
 use crate::api::*;
 use std::collections::VecDeque;
 
-/// Age, in microseconds, of a load report that comes with a delay.
+/// Assumed age of a delayed load report, in microseconds.
 const DELAYED_REPORT_AGE: Micros = SECOND / 2;
-/// For how long it is remembered what ran, in microseconds.
+/// Time for which the history of running jobs is kept, in microseconds.
 const RUNNING_HISTORY_SPAN: Micros = 2 * SECOND;
-/// Keys remembered of the jobs sent to a worker.
-const RECENT_KEYS: usize = 8;
+/// Number of recent keys kept per worker.
+const MAX_RECENT_KEYS: usize = 8;
 
-/// What ran until a change of the bookings.
-struct RunningBefore {
+/// What was running until the bookings changed.
+struct RunningHistoryEntry {
     changed_at: Micros,
     running: [f64; 2],
 }
 
-/// What our own jobs hold at a worker, in slots and memory units.
+/// Slots and memory units that this dispatcher's jobs hold at a worker.
 #[derive(Default)]
 pub(crate) struct Bookings {
-    /// Held by jobs sent there.
+    /// Held by all jobs sent to the worker.
     pub(crate) booked: [f64; 2],
-    /// The part of it that runs.
+    /// Held by the jobs that are running.
     pub(crate) running: [f64; 2],
-    /// The latest last: a load report was made beside what ran at its time.
-    history: VecDeque<RunningBefore>,
+    /// Earlier values of `running`, the latest last: a load report refers to the jobs running when it was
+    /// made.
+    history: VecDeque<RunningHistoryEntry>,
 }
 
 impl Bookings {
-    /// Remembers what ran until now, as it is about to change.
+    /// Saves `running` before it changes.
     fn record_running(&mut self, now: Micros) {
-        self.history.push_back(RunningBefore { changed_at: now, running: self.running });
+        self.history.push_back(RunningHistoryEntry { changed_at: now, running: self.running });
         while self.history.front().is_some_and(|entry| entry.changed_at < now - RUNNING_HISTORY_SPAN) {
             self.history.pop_front();
         }
     }
 
-    /// What ran at that time.
+    /// What was running at a given time.
     fn running_at(&self, at: Micros) -> [f64; 2] {
         let next_change = self.history.iter().find(|entry| entry.changed_at > at);
         next_change.map_or(self.running, |entry| entry.running)
     }
 
-    /// Books a job's need; `runs`: it counts as running at once.
+    /// Books a job's need. With `runs`, the job counts as running immediately.
     pub(crate) fn book(&mut self, need: [f64; 2], runs: bool, now: Micros) {
         self.record_running(now);
         for resource in RESOURCES {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Frees a job's need; `ran`: it counted as running.
+    /// Frees a job's need. `ran` tells whether the job counted as running.
     pub(crate) fn free(&mut self, need: [f64; 2], ran: bool, now: Micros) {
         self.record_running(now);
         for resource in RESOURCES {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A booked job has started.
+    /// Counts a booked job as running.
     pub(crate) fn start(&mut self, need: [f64; 2], now: Micros) {
         self.record_running(now);
         for resource in RESOURCES {
@@ -79,101 +80,103 @@
     }
 }
 
-/// How soon jobs start at a worker and how long they run.
+/// Start delays and run times at a worker.
 pub(crate) struct RunTiming {
-    /// Microseconds from send to start.
+    /// Time from send to start, in microseconds.
     pub(crate) start_delay: DecayingMean,
     /// log(run time / work).
     pub(crate) log_slowdown: DecayingMean,
-    /// A lower bound of the latter, from own jobs that overrun.
+    /// Lower bound of the log slowdown, from this dispatcher's jobs that exceed their expected run time.
     pub(crate) overrun: f64,
-    /// For how long, in microseconds, an own job has been there without a start.
+    /// Longest time for which a job of this dispatcher has waited at the worker for its start, in
+    /// microseconds.
     pub(crate) head_of_line_wait: f64,
 }
 
 impl RunTiming {
-    /// An own job has been there for so long, in microseconds, without a start. Start delays are those of
-    /// jobs that did start: one that has not says more.
+    /// Records that a job has waited for its start for this time, in microseconds. Start delays come only
+    /// from jobs that have started, so a job that is still waiting can show a longer delay.
     pub(crate) fn record_unstarted(&mut self, wait: f64) {
         self.head_of_line_wait = self.head_of_line_wait.max(wait);
     }
 
-    /// An attempt ended: jobs that overran or waited there say nothing of those after it.
+    /// Resets the overrun and the wait after the end of an attempt: they don't apply to later jobs.
     pub(crate) fn attempt_ended(&mut self) {
         self.overrun = f64::NEG_INFINITY;
         self.head_of_line_wait = 0.0;
     }
 }
 
-/// Our connections to a worker.
+/// Connections of this dispatcher to a worker.
 #[derive(Default)]
 pub(crate) struct Connections {
-    /// When each idle connection fell idle.
+    /// For each idle connection, when it became idle.
     pub(crate) idle_since: Vec<Micros>,
-    /// A job was sent or an attempt ended since the connections were last closed.
+    /// There may be open connections: a job was sent or an attempt ended since they were last closed.
     pub(crate) may_be_open: bool,
 }
 
 /// A job sent to a worker.
 pub(crate) struct RecentSend {
     pub(crate) sent_at: Micros,
-    /// In seconds at speed 1.
+    /// Work in seconds at speed 1.
     pub(crate) work: f64,
 }
 
-/// A class of a tenant that a worker rejects.
+/// A class of a tenant that a worker currently rejects.
 pub(crate) struct RejectedClass {
     tenant_class: TenantClass,
     until: Micros,
 }
 
-/// A worker as one pass sees it, so that a margin takes few operations.
+/// Values of a worker that are fixed for a pass, so that computing a margin takes few operations.
 #[derive(Clone, Default)]
 pub(crate) struct WorkerSnapshot {
-    /// Run time in microseconds of one second's work.
+    /// Run time in microseconds of one second of work.
     pub(crate) run_time_per_work: f64,
-    /// Expected microseconds from send to start.
+    /// Expected time from send to start, in microseconds.
     pub(crate) start_delay: f64,
-    /// Probability that a job is answered, by the worker's own record.
+    /// Probability that a job succeeds, from the worker's own record.
     pub(crate) success: f64,
-    /// Costs of crossing zones and of a new connection, in mean priority weights.
+    /// Costs of crossing zones and of opening a connection, in mean priority weights.
     pub(crate) fees: f64,
-    /// Free capacity in each resource; infinite where an idle worker without figures may start anything.
+    /// Free capacity by resource; infinite for memory and for a trial if the worker reports none.
     pub(crate) free: [f64; 2],
-    /// One job may queue there for the next slot.
+    /// A job may queue at the worker for the next free slot.
     pub(crate) may_queue: bool,
 }
 
-/// What is known of a worker, in an order that keeps together what every pass touches: with many dispatchers
-/// on a machine their memory is not in its caches, and a large fleet is walked at each pass.
+/// State of a worker. The field order keeps together what every pass accesses: each pass iterates over a
+/// large fleet, and with many dispatchers on a machine their state does not fit into its caches.
 #[repr(C)]
 pub(crate) struct Worker {
+    /// Its entry in the endpoint list.
     pub(crate) listed: Endpoint,
-    /// When its process started, by our own clock; none: long ago.
+    /// When its process started, on this dispatcher's clock; `None` means long ago.
     pub(crate) started_at: Option<Micros>,
     pub(crate) ready: bool,
-    /// The most `units` listed.
+    /// Largest `units` listed so far.
     pub(crate) max_units: f64,
     pub(crate) bookings: Bookings,
     pub(crate) capacity: [CapacityEstimate; 2],
     pub(crate) timing: RunTiming,
     pub(crate) health: Health,
     pub(crate) connections: Connections,
-    /// Sends within the latest `safety.overload_window`.
+    /// Sends within the last `safety.overload_window`.
     pub(crate) recent_sends: Vec<RecentSend>,
     rejected_classes: Vec<RejectedClass>,
-    /// Keys of the jobs sent there, the latest first.
+    /// Keys of the jobs sent to it, the latest first.
     recent_keys: VecDeque<KeyId>,
-    /// 0: the first of our order, as many as each dispatcher's part of the fleet; 1: the rest of our zone; 2:
-    /// other zones.
+    /// 0: the first workers in this dispatcher's order of preference, as many as its share of the fleet; 1:
+    /// the others in its zone; 2: workers in other zones.
     pub(crate) locality_tier: usize,
-    /// Something was learned of it since the last pass.
+    /// Its state changed since the last pass.
     pub(crate) changed: bool,
     pub(crate) snapshot: WorkerSnapshot,
     pub(crate) prices: WorkerPrices,
 }
 
-/// Estimates that a new worker starts with.
+/// Initial estimates for a new worker.
 #[derive(Clone, Copy)]
 pub(crate) struct InitialEstimates {
     pub(crate) capacity: [f64; 2],
@@ -207,29 +210,29 @@
         }
     }
 
-    /// Work sent to it from then on, in seconds at speed 1, as far as it is remembered.
+    /// Work sent to it since a given time, in seconds at speed 1, among the recent sends.
     pub(crate) fn work_sent_since(&self, at: Micros) -> f64 {
         self.recent_sends.iter().filter(|send| send.sent_at >= at).map(|send| send.work).sum()
     }
 
-    /// Records a send, and forgets those before `remembered_from`.
-    pub(crate) fn record_send(&mut self, work: f64, now: Micros, remembered_from: Micros) {
-        self.recent_sends.retain(|send| send.sent_at >= remembered_from);
+    /// Records a send and drops those before `window_start`.
+    pub(crate) fn record_send(&mut self, work: f64, now: Micros, window_start: Micros) {
+        self.recent_sends.retain(|send| send.sent_at >= window_start);
         self.recent_sends.push(RecentSend { sent_at: now, work });
     }
 
-    /// Remembers the key of a job sent there: its data is likely cached from now on.
+    /// Records the key of a job sent to it, whose data is probably cached from now on.
     pub(crate) fn remember_key(&mut self, key: KeyId) {
         self.recent_keys.retain(|known| *known != key);
         self.recent_keys.push_front(key);
-        self.recent_keys.truncate(RECENT_KEYS);
+        self.recent_keys.truncate(MAX_RECENT_KEYS);
     }
 
     pub(crate) fn remembers_key(&self, key: KeyId) -> bool {
         self.recent_keys.contains(&key)
     }
 
-    /// It rejects a class of a tenant, which is taken to last until then.
+    /// Records that it rejects a class of a tenant, which is assumed to last until the given time.
     pub(crate) fn reject_class(&mut self, tenant_class: TenantClass, until: Micros) {
         self.rejected_classes.retain(|rejected| rejected.tenant_class != tenant_class);
         self.rejected_classes.push(RejectedClass { tenant_class, until });
@@ -249,20 +252,21 @@
         self.rejected_classes.retain(|rejected| rejected.until > now);
     }
 
-    /// It responded; `up_at`: a time at which its process was up for certain.
+    /// Records a response. `up_at` is a time at which its process is known to have been up.
     pub(crate) fn record_response(&mut self, up_at: Micros, now: Micros) {
         self.health.record_response(up_at, now);
         self.changed = true;
     }
 
-    /// Learns the free slots from the start of a job, or from the lack of one.
+    /// Updates the slot capacity from the start of a job or its absence.
     pub(crate) fn infer_slots(&mut self, booked_before: f64, evidence: StartEvidence, now: Micros) {
         let running = self.bookings.running[SLOT];
         self.capacity[SLOT].infer_from_start(booked_before, evidence, running, now);
     }
 
-    /// Learns the free slots from listed units that fall as it holds requests: the units when idle over 1 +
-    /// requests held for each core; each counts as one of `total` slots.
+    /// Updates the slot capacity from listed units that fall with the load. The listed value is the units of
+    /// the idle worker divided by 1 + the requests held per core, and each core counts as one of `total`
+    /// slots.
     pub(crate) fn apply_listed_units(&mut self, total: f64, now: Micros) {
         self.max_units = self.max_units.max(self.listed.units);
         let slots = &mut self.capacity[SLOT];
@@ -273,13 +277,13 @@
         self.changed = true;
     }
 
-    /// Records a load report. Its figures were taken beside what ran then: not what has started since, but
-    /// what has ended since.
+    /// Records a load report. Its values refer to the jobs that were running when it was taken, so jobs that
+    /// have started since are left out, and jobs that have ended since are included.
     pub(crate) fn apply_report(&mut self, report: &LoadReport, now: Micros) {
         let taken_at = if report.delayed { now - DELAYED_REPORT_AGE } else { now };
         let running = self.bookings.running_at(taken_at);
         if let Some(free) = report.free_slots.filter(|free| free.is_finite()) {
-            // Slots are whole, reports noisy.
+            // Slots are integers, but reports are noisy.
             self.capacity[SLOT].record(running[SLOT], free.round().max(0.0), now);
         }
         if let Some(free) = report.free_memory.filter(|free| free.is_finite()) {
