--- a/dispatcher/src/core/clock.rs
+++ b/dispatcher/src/core/clock.rs
@@ -1,4 +1,5 @@
-//! The one clock: microseconds since the Unix epoch, read once and carried on monotonically.
+//! The clock of the process: microseconds since the Unix epoch. The system time is read once; from then on the
+//! monotonic clock advances it.
 
 use roselock::Micros;
 use std::sync::OnceLock;
@@ -6,7 +7,7 @@
 
 static START: OnceLock<(Instant, Micros)> = OnceLock::new();
 
-/// Now. It never runs back.
+/// The current time. It never goes backwards.
 pub fn now() -> Micros {
     let (start, epoch) = START.get_or_init(|| {
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -15,7 +16,7 @@
     epoch + start.elapsed().as_micros() as Micros
 }
 
-/// What is left until a deadline: the one place where one becomes a span.
+/// The time until a deadline; zero if it has passed.
 pub fn left(deadline: Micros) -> Duration {
     Duration::from_micros((deadline - now()).max(0) as u64)
 }
--- a/dispatcher/src/core/downstream.rs
+++ b/dispatcher/src/core/downstream.rs
@@ -1,5 +1,5 @@
-//! The client's side: what a front hands over when a stream arrives, and the traits that fronts implement to take its
-//! answer, to hold jobs back and to record finished streams.
+//! The client side: what a frontend passes in when a stream arrives, and the traits for taking its answer, for queueing
+//! jobs outside the event loop and for recording finished streams.
 
 use super::{FleetId, StreamId};
 use roselock::{ClassId, KeyId, Micros, TenantId};
@@ -10,11 +10,11 @@
 /// A request as received: one buffer, and the ranges of its parts in that buffer.
 #[derive(Default)]
 pub struct Payload {
-    /// The whole request. A stream that is retried by its front shares it.
+    /// The whole request. The streams of a job that its frontend submits again share it.
     pub raw: Arc<Vec<u8>>,
-    /// The client's id of the request, where it sent one.
+    /// The request id that the client sent, if any.
     pub id: Range<usize>,
-    /// The id that the front assigned; it takes precedence over [`Payload::id`].
+    /// The id that the frontend assigned; it takes precedence over [`Payload::id`].
     pub assigned_id: Option<String>,
     /// The method.
     pub method: Range<usize>,
@@ -22,21 +22,21 @@
     pub target: Range<usize>,
     /// The reducer (Gearman).
     pub reducer: Range<usize>,
-    /// The client's `Idempotency-Key`, by which hosts recognize a repeated request; empty where the client sent none.
+    /// The client's `Idempotency-Key`, by which hosts recognize a repeated request; empty if the client sent none.
     pub idempotency_key: Range<usize>,
     /// The body.
     pub body: Range<usize>,
 }
 
 impl Payload {
-    /// The id of the request: the assigned one, or else the client's. Empty if the client's is not UTF-8.
+    /// The id of the request: the assigned one, otherwise the client's. Empty if the client's is not valid UTF-8.
     pub fn id(&self) -> &str {
         match &self.assigned_id {
             Some(id) => id,
             None => std::str::from_utf8(&self.raw[self.id.clone()]).unwrap_or(""),
         }
     }
-    /// The bytes of one part, given its range.
+    /// The bytes in this range of the request.
     pub fn part(&self, part: &Range<usize>) -> &[u8] {
         &self.raw[part.clone()]
     }
@@ -46,23 +46,23 @@
 pub struct NewStream {
     /// Its number, from [`Inbox::stream_id`](super::Inbox::stream_id).
     pub id: StreamId,
-    /// The fleet that is to run it.
+    /// The fleet whose hosts may run it.
     pub fleet: FleetId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant, if known.
     pub tenant: Option<TenantId>,
-    /// The key of what it concerns, if it has one.
+    /// The key of the object that it concerns, if it has one.
     pub key: Option<KeyId>,
     /// Slots that it occupies on a host.
     pub slots: f64,
     /// Memory that it occupies on a host, in the unit of the settings.
     pub memory: f64,
-    /// Its work in seconds, if the client gave a hint.
+    /// The client's estimate of its run time in seconds, if it sent one.
     pub hint: Option<f64>,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// Attempts that may have run before this stream, of a job that its front submits again.
+    /// For a job that its frontend submits again: the number of attempts in earlier streams that may have run.
     pub prior_attempts: u32,
     /// The client's address.
     pub peer: SocketAddr,
@@ -77,58 +77,58 @@
 pub enum Answer {
     /// The result of an upstream host.
     Served(Vec<u8>),
-    /// Local reply: rejected, it has not run. The client may retry after this time, if it is not 0.
+    /// Local reply: rejected without having run. The client may retry after this time, unless it is 0.
     Rejected(Micros),
     /// Local reply: another stream has the same id, or had it recently.
     Conflict,
-    /// Local reply: failed, it may have run.
+    /// Local reply: failed; it may have run.
     Failed,
-    /// Local reply: no answer before the deadline, it may have run.
+    /// Local reply: no answer before the deadline; it may have run.
     TimedOut,
 }
 
-/// The client's side of a stream. Its methods only post; they never wait.
+/// The client side of a stream. Its methods only enqueue; they never block.
 pub trait Downstream: Send {
-    /// Passes on the final answer. `attempts_run` is the number of attempts that may have run.
+    /// Sends the final answer. `attempts_run` is the number of attempts that may have run.
     fn answer(&self, answer: Answer, attempts_run: u32);
-    /// Passes on whether a host runs the stream now, where the client's protocol can express it.
-    fn running(&self, _runs: bool) {}
-    /// Passes on the share that is done, from 0 to 1, where the client's protocol can express it.
+    /// Reports whether a host is running the stream, if the client's protocol supports it.
+    fn running(&self, _is_running: bool) {}
+    /// Reports the share of the work that is done, from 0 to 1, if the client's protocol supports it.
     fn progress(&self, _share: f64) {}
-    /// Passes on output that precedes the result, where the client's protocol can express it.
+    /// Sends output that precedes the result, if the client's protocol supports it.
     fn output(&self, _kind: OutputKind, _bytes: &[u8]) {}
 }
 
-/// Output of a host for a stream, before the result.
+/// The kind of output that a host sends before the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputKind {
     /// A part of the result.
     Data,
     /// A warning.
     Warning,
-    /// The reason why it will fail.
+    /// The reason for a failure that will follow.
     Exception,
 }
 
 /// How a stream finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamOutcome {
-    /// With a host's result.
+    /// It was answered with a host's result.
     Served,
-    /// Rejected.
+    /// It was rejected without having run.
     Rejected,
-    /// Failed.
+    /// It failed.
     Failed,
-    /// Without an answer before its deadline.
+    /// There was no answer before its deadline.
     TimedOut,
-    /// Its client disconnected first.
+    /// Its client disconnected before the answer.
     ClientDisconnected,
 }
 
 /// A finished stream, for the flow record.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// Its number.
+    /// The number of the stream.
     pub stream: StreamId,
     /// Its class.
     pub class: ClassId,
@@ -140,26 +140,26 @@
     pub downstream: SocketAddr,
     /// The address of the host to which it was sent last, if any.
     pub upstream: Option<SocketAddr>,
-    /// Bytes of the request's body.
+    /// Size of the request body in bytes.
     pub received: usize,
-    /// Bytes of the result.
+    /// Size of the result in bytes.
     pub sent: usize,
     /// How it finished.
     pub outcome: StreamOutcome,
 }
 
-/// Records finished streams. Never waits.
+/// Records finished streams. It never blocks.
 pub trait FlowSink: Send {
-    /// Records one, or counts that it was dropped.
+    /// Records a finished stream; if that is not possible, counts it as dropped.
     fn finished(&self, flow: Flow);
 }
 
-/// A queue of jobs outside the owner thread, which polls it. Only the owner thread calls it; never waits.
+/// A queue of jobs outside the event loop, which polls it. Only the event loop calls its methods; they never block.
 pub trait JobSource: Send {
     /// The next job, if one may be admitted now.
     fn next(&self, now: Micros) -> Option<NewStream>;
-    /// When a job may next be admitted without a further [`Input`](super::Input).
+    /// When the next job may be admitted, if no [`Input`](super::Input) arrives before that.
     fn next_due(&self) -> Option<Micros>;
-    /// The process is about to end: clients that still wait are notified. Called repeatedly until the end.
+    /// Notifies the clients that are still waiting that the process is about to end. Called repeatedly until it ends.
     fn shut_down(&self);
 }
--- a/dispatcher/src/core/messages.rs
+++ b/dispatcher/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that socket code posts to the owner thread.
+//! The messages that socket code posts to the event loop.
 
 use super::{FleetId, NewStream, OutputKind, StreamId, UpstreamConnection, UpstreamId};
 use roselock::{Endpoint, ListMode, LoadReport, Micros, Outcome, Settings, WatchEnd, WorkerId};
@@ -9,22 +9,22 @@
 /// What happened to an upstream request.
 #[derive(Debug)]
 pub enum UpstreamEvent {
-    /// The host has accepted it and reports its end later.
+    /// The host has accepted it and will report its end later.
     Accepted,
-    /// The host has accepted it and runs it.
+    /// The host has accepted it and is running it.
     Started,
-    /// This share of it is done, from 0 to 1.
+    /// The share of the work that is done, from 0 to 1.
     Progress(f64),
     /// The host sent output that precedes the result.
     Output {
-        /// The kind of output.
+        /// What the output is.
         kind: OutputKind,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// It ended.
+    /// It has ended.
     Ended {
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// The host's load report.
         report: LoadReport,
@@ -33,21 +33,21 @@
     },
     /// The answer to a health check.
     HealthChecked {
-        /// The host is healthy.
+        /// Whether the host is healthy.
         ok: bool,
         /// Its load report.
         report: LoadReport,
     },
-    /// The host has answered a withdrawal.
+    /// The host has acknowledged a withdrawal.
     Withdrawn,
     /// The connection ended before a health check or a withdrawal was answered.
     ConnectionLost,
-    /// The host has rejected a new connection: it closed the connection at once, without sending a byte.
+    /// The host rejected a new connection: it closed the connection immediately, without sending a byte.
     ConnectionRejected {
-        /// Some of the request had been written by then.
+        /// Whether any part of the request had been written by then.
         request_written: bool,
     },
-    /// Nothing that concerns the decisions.
+    /// An event that is irrelevant to the decision logic.
     Ignored,
 }
 
@@ -56,36 +56,36 @@
 pub enum ConnectionState {
     /// Still in use by the upstream request.
     Busy,
-    /// Ready for the next one.
+    /// Ready for the next upstream request.
     Free,
     /// Closed.
     Closed,
 }
 
-/// What a callback of a host reports of a stream.
+/// What a host reports about a stream in a callback.
 #[derive(Debug)]
 pub enum CallbackEvent {
-    /// It has started.
+    /// The stream is running.
     Started,
-    /// This share of it is done, from 0 to 1.
+    /// The share of the work that is done, from 0 to 1.
     Progress(f64),
-    /// It has ended with this outcome and result.
+    /// The attempt has ended with this outcome and result.
     Ended(Outcome, Vec<u8>),
 }
 
-/// An upstream host as listed.
+/// An upstream host in the endpoint list.
 pub struct ListedHost {
     /// Its name on the wire.
     pub uid: String,
-    /// The address to dial; a host that connected to us has none.
+    /// The address to dial; `None` for a host on an inbound connection.
     pub address: Option<SocketAddr>,
-    /// Its entry for the decisions.
+    /// Its entry for the decision logic.
     pub endpoint: Endpoint,
-    /// Its connection, where it connected to us.
+    /// Its inbound connection, if the host opened one.
     pub connection: Option<Arc<dyn UpstreamConnection>>,
 }
 
-/// A message to the owner thread.
+/// A message to the event loop.
 pub enum Input {
     /// A stream arrived.
     StreamArrived(Box<NewStream>),
@@ -97,7 +97,7 @@
         id: UpstreamId,
         /// What happened.
         event: UpstreamEvent,
-        /// The state of its connection after that.
+        /// The state of its connection after the event.
         connection: ConnectionState,
     },
     /// A callback of an upstream host.
@@ -110,19 +110,19 @@
         event: CallbackEvent,
         /// The host's load report.
         report: LoadReport,
-        /// Its body as received, where it may be forwarded to the other process of an upgrade.
+        /// The body as received, if it may be forwarded to the other process of an upgrade.
         body: Option<Vec<u8>>,
     },
-    /// The endpoint list, or changes of it.
+    /// The endpoint list, or changes to it.
     Hosts {
         /// The fleet.
         fleet: FleetId,
-        /// How to read the list.
+        /// Whether the list is complete, cached, or only holds changes.
         mode: ListMode,
         /// The hosts.
         hosts: Vec<ListedHost>,
     },
-    /// The capacity of a host that connected to us, less what it does for others.
+    /// The capacity of a host on an inbound connection, minus the jobs that it runs for other fleets.
     Capacity {
         /// The fleet.
         fleet: FleetId,
@@ -131,45 +131,45 @@
         /// Its free slots.
         free_slots: f64,
     },
-    /// A new fleet, with settings and a seed.
+    /// A new fleet.
     FleetAdded {
-        /// Its number: the next one that is free.
+        /// Its number, which is the next free one.
         fleet: FleetId,
-        /// The settings of its decisions, which whoever posts this has checked.
+        /// The settings of its decision logic; the sender has validated them.
         settings: Box<Settings>,
-        /// The seed of its random numbers.
+        /// The seed of its random number generator.
         seed: u64,
     },
     /// A [`JobSource`](super::JobSource) may have a job.
     JobsAvailable,
-    /// The watch on the endpoint list, or an attempt to open one, ended.
+    /// The watch on the endpoint list ended, or opening one failed.
     WatchEnded {
         /// The fleet.
         fleet: FleetId,
         /// How it ended.
         end: WatchEnd,
     },
-    /// The discovery service was moved.
+    /// The discovery service was moved to another address.
     DiscoveryMoved {
         /// The fleet.
         fleet: FleetId,
-        /// When.
+        /// When it was moved.
         at: Micros,
     },
-    /// New settings of the decisions, with the same names as before.
+    /// New settings of the decision logic, with the same names as before.
     SettingsChanged {
         /// The fleet.
         fleet: FleetId,
         /// The settings.
         settings: Box<Settings>,
     },
-    /// New limits of connections to the workers of a fleet that has such limits.
+    /// New limits on connections to the workers of a fleet that has such limits.
     DialLimitsChanged {
         /// The fleet.
         fleet: FleetId,
         /// The limits.
         limits: DialLimits,
     },
-    /// Shut down gracefully: finish what is in flight, then stop.
+    /// Shut down gracefully: finish the streams in flight, then stop.
     ShutdownRequested,
 }
--- a/dispatcher/src/core/mod.rs
+++ b/dispatcher/src/core/mod.rs
@@ -1,6 +1,7 @@
-//! The state that the process holds in memory (streams, upstream requests, upstream hosts and their connection pools),
-//! and the thread that owns it together with the decisions. No wire protocol is known here: fronts, upstream connections
-//! and discovery reach this module through [`Inbox`] and stand behind the traits of [`downstream`] and [`upstream`].
+//! The in-memory state of the process (streams, upstream requests, upstream hosts and their connection pools) and the
+//! event loop that owns it together with the decision logic ([`roselock::Dispatcher`]). This module is independent of
+//! the wire protocols: the frontends, the upstream connections and discovery post messages to [`Inbox`], and are called
+//! through the traits in [`downstream`] and [`upstream`].
 
 pub mod clock;
 pub mod downstream;
@@ -19,12 +20,13 @@
 pub use messages::{CallbackEvent, ConnectionState, Input, ListedHost, UpstreamEvent};
 pub use upstream::{CallbackRelay, Dialer, RequestKind, UpstreamConnection, UpstreamRequest};
 
-/// Number of a stream: one request of a client, until its final answer. The decisions know the job by the same number.
+/// Number of a stream: one request of a client, until its final answer. The decision logic uses the same number as the
+/// id of the job.
 pub type StreamId = u32;
 
 /// Number of an upstream request: one attempt of a stream at an upstream host, a health check, a withdrawal, or a
-/// connection that is opened ahead of its use.
+/// connection that is opened in advance.
 pub type UpstreamId = u64;
 
-/// Index of a fleet: the upstream hosts that share one instance of the decisions.
+/// Index of a fleet: the upstream hosts that share one instance of the decision logic.
 pub type FleetId = usize;
--- a/dispatcher/src/core/shutdown_deadlines_tests.rs
+++ b/dispatcher/src/core/shutdown_deadlines_tests.rs
@@ -1,12 +1,12 @@
-//! Deadlines of a graceful shutdown.
+//! Tests of the deadlines of a graceful shutdown.
 
 use super::*;
 use rstest::rstest;
 
 const REQUESTED_AT: Micros = 1_000_000_000;
 
-/// Guards against an answer or an exit after the process may be killed: 0.7 s after the client timeout, of which at most
-/// 3 s count.
+/// Guards against an answer or an exit that comes after the process may be killed: 0.7 s after the client timeout, of
+/// which at most 3 s count.
 #[rstest]
 #[case::no_settings_known(0, 500_000)]
 #[case::short(1_000_000, 1_500_000)]
@@ -23,7 +23,7 @@
     assert!(deadlines.is_drain_over(REQUESTED_AT + drain));
 }
 
-/// Guards against connections that close while their clients have nowhere else to go, and against those that never close.
+/// Guards against closing connections before their clients can use another dispatcher, and against never closing them.
 #[rstest]
 #[case(3_000_000, 1_800_000)]
 #[case(0, 257_142)]
@@ -37,7 +37,8 @@
     assert!(deadlines.is_closing_connections(REQUESTED_AT + linger));
 }
 
-/// Guards against a late stream whose answer the process would not live to send, and against a bound on an early one.
+/// Guards against a late stream that would be answered only after the kill, and against a shortened deadline of an
+/// early one.
 #[rstest]
 fn only_late_arrivals_are_bound_by_the_shutdown() {
     let deadlines = ShutdownDeadlines::new(REQUESTED_AT, 3_000_000);
