--- a/dispatcher/src/core/event_loop.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of the owner thread: it takes inputs from the queue, steps the decisions, and performs what they decide.
-//! Only here does an attempt end: with exactly one [`Event::AttemptEnded`](roselock::Event::AttemptEnded) for each
+//! The event loop: it takes inputs from the queue, steps the decision logic, and performs the actions that it returns.
+//! Attempts end only here, each with exactly one [`Event::AttemptEnded`](roselock::Event::AttemptEnded) per
 //! [`Action::Send`](roselock::Action::Send).
 
 mod admin_state;
@@ -31,20 +31,20 @@
 use roselock::{Action, Dispatcher, ListMode, Micros, Settings, SettingsError};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use stream_table::StreamTable;
-use suspended_workers::NotifiedSuspensions;
+use suspended_workers::AppliedSuspensions;
 use unsent_withdrawals::UnsentWithdrawals;
 use upstream_requests::UpstreamRequests;
 
-/// A process that shuts down ends once no stream has arrived for so long, in microseconds.
-const QUIET_BEFORE_EXIT: Micros = 400_000;
-/// Most inputs that are handled, and most jobs polled from one source, in one iteration of the loop.
+/// A process that is shutting down ends once no stream has arrived for this long, in microseconds.
+const EXIT_QUIET_PERIOD: Micros = 400_000;
+/// Maximum number of inputs handled, and of jobs polled from one source, in one iteration of the loop.
 const MAX_BATCH: usize = 1024;
-/// Longest wait for an input, in microseconds.
+/// Maximum wait for an input, in microseconds.
 const MAX_WAIT: Micros = 250_000;
-/// Longest wait for an input while the process shuts down, in microseconds.
+/// Maximum wait for an input while the process is shutting down, in microseconds.
 const MAX_WAIT_IN_SHUTDOWN: Micros = 20_000;
 
-/// The state of the owner thread.
+/// The state of the event loop.
 pub struct Core {
     inbox: Inbox,
     inputs: Receiver<Input>,
@@ -56,10 +56,10 @@
     dial_queues: DialQueues,
     job_sources: Vec<Box<dyn JobSource>>,
     flows: Option<Box<dyn FlowSink>>,
-    /// Takes callbacks of streams that are not here, where the other process of an upgrade may have them.
+    /// Takes callbacks for streams that are unknown here, if the other process of an upgrade may have them.
     relay: Option<Box<dyn CallbackRelay>>,
     admin: AdminState,
-    suspensions: NotifiedSuspensions,
+    suspensions: AppliedSuspensions,
     list_status: ListStatus,
     /// Buffer for the actions of one step.
     actions: Vec<Action>,
@@ -67,12 +67,12 @@
     last_arrival_at: Micros,
     /// When idle connections were last expired.
     idle_expired_at: Micros,
-    /// When the metrics of the endpoint list were last published; 0: publish them in the next iteration.
+    /// When the metrics of the endpoint list were last published; 0 to publish them in the next iteration.
     metrics_published_at: Micros,
 }
 
 impl Core {
-    /// A core without fleets.
+    /// Creates a core without fleets.
     pub fn new(
         inbox: Inbox,
         inputs: Receiver<Input>,
@@ -93,7 +93,7 @@
             flows,
             relay: None,
             admin,
-            suspensions: NotifiedSuspensions::default(),
+            suspensions: AppliedSuspensions::default(),
             list_status: ListStatus::new(now, false),
             actions: Vec::new(),
             last_arrival_at: now,
@@ -102,29 +102,29 @@
         }
     }
 
-    /// Applies the endpoint list that the process has cached from before its start.
+    /// Applies the endpoint list that was cached before the process started.
     pub fn seed_known_hosts(&mut self, fleet: FleetId, hosts: Vec<ListedHost>) {
         self.list_status = ListStatus::new(clock::now(), !hosts.is_empty());
         self.admin.metrics.start(&self.list_status.startup, None);
         self.apply_list(fleet, ListMode::Cached, hosts);
     }
 
-    /// Forwards callbacks of streams that are not here to the other process of an upgrade.
+    /// Sets the relay that forwards callbacks for unknown streams to the other process of an upgrade.
     pub fn set_relay(&mut self, relay: Box<dyn CallbackRelay>) {
         self.relay = Some(relay);
     }
 
-    /// Adds a source of jobs that wait outside the owner thread.
+    /// Adds a source of jobs that are queued outside the event loop.
     pub fn add_job_source(&mut self, source: Box<dyn JobSource>) {
         self.job_sources.push(source);
     }
 
-    /// Adds a fleet with an instance of the decisions of its own. A fleet without a dialer has only hosts that connect to
-    /// us.
+    /// Adds a fleet with its own instance of the decision logic. A fleet without a dialer only has hosts on inbound
+    /// connections.
     ///
     /// # Errors
     ///
-    /// If the decisions reject the settings.
+    /// If the decision logic rejects the settings.
     pub fn add_fleet(
         &mut self,
         settings: Settings,
@@ -135,7 +135,7 @@
         Ok(self.fleets.add(Fleet::new(dispatcher, settings, dialer)))
     }
 
-    /// Runs until a shutdown is requested and nothing is in flight any more.
+    /// Runs the loop until a requested shutdown is complete.
     pub fn run(mut self) {
         while self.receive_inputs() {
             let now = clock::now();
@@ -155,9 +155,9 @@
         }
     }
 
-    /// Waits for inputs and handles a batch of them; false if no input can come any more.
+    /// Waits for inputs and handles a batch of them. Returns false if the queue is closed.
     fn receive_inputs(&mut self) -> bool {
-        match self.inputs.recv_timeout(clock::left(self.wake_at())) {
+        match self.inputs.recv_timeout(clock::left(self.next_wakeup_at())) {
             Ok(input) => self.handle(input),
             Err(RecvTimeoutError::Timeout) => return true,
             Err(RecvTimeoutError::Disconnected) => return false,
@@ -169,8 +169,8 @@
         true
     }
 
-    /// When there is something to do even without an input.
-    fn wake_at(&self) -> Micros {
+    /// When the loop has to run even if no input arrives.
+    fn next_wakeup_at(&self) -> Micros {
         let is_shutting_down = self.inbox.shutdown_requested_at().is_some();
         let max_wait = if is_shutting_down { MAX_WAIT_IN_SHUTDOWN } else { MAX_WAIT };
         let latest = clock::now() + max_wait;
@@ -185,7 +185,7 @@
             .fold(latest, Micros::min)
     }
 
-    /// Admits jobs that wait outside the owner thread.
+    /// Admits jobs that are queued outside the event loop.
     fn poll_job_sources(&mut self, now: Micros) {
         for index in 0..self.job_sources.len() {
             for _ in 0..MAX_BATCH {
@@ -195,8 +195,9 @@
         }
     }
 
-    /// In a shutdown, notifies the job sources once connections are closing. True if the process may end now: nothing is
-    /// in flight, no stream has arrived for a while or the drain timeout is over, and no further stream is accepted.
+    /// In a shutdown, notifies the job sources once connections are closing. Returns true if the process may end now:
+    /// all answers are written, no stream has arrived for a while or the drain timeout is over, and no further streams
+    /// are accepted.
     fn try_shut_down(&mut self, now: Micros) -> bool {
         let Some(deadlines) = self.inbox.shutdown_deadlines() else { return false };
         if !self.inbox.is_closing_connections() {
@@ -205,8 +206,8 @@
         for source in &self.job_sources {
             source.shut_down();
         }
-        // After the drain timeout those that still come are rejected at once.
-        let is_quiet = now - self.last_arrival_at >= QUIET_BEFORE_EXIT;
+        // Streams that arrive after the drain timeout are rejected at once, so they need not be waited for.
+        let is_quiet = now - self.last_arrival_at >= EXIT_QUIET_PERIOD;
         self.streams.all_answered()
             && self.inbox.pending_responses() == 0
             && (deadlines.is_drain_over(now) || is_quiet)
--- a/dispatcher/src/core/event_loop/admin_state.rs
+++ b/dispatcher/src/core/event_loop/admin_state.rs
@@ -1,4 +1,5 @@
-//! What the owner shares with the admin address: the metrics that only it knows, and the suspended workers.
+//! The state that the event loop shares with the admin address: the metrics that only the event loop knows, and the
+//! suspended workers.
 
 use super::Core;
 use crate::core::Answer;
@@ -7,27 +8,27 @@
 use roselock_admin::metrics::{JobResult, Metrics};
 use std::sync::Arc;
 
-/// The metrics of the endpoint list are published at most this often, in microseconds: since the loop may wait longer, a
-/// reader may see values that are 0.5 s old.
+/// Minimum interval between publications of the metrics of the endpoint list, in microseconds. Since the loop may wait
+/// longer, a reader may see values that are 0.5 s old.
 const PUBLISH_INTERVAL: Micros = 100_000;
 
-/// What the admin address shares with the owner.
+/// The state that the admin address shares with the event loop.
 #[derive(Clone)]
 pub struct AdminState {
-    /// The values of `METRICS`.
+    /// The values of the `METRICS` reply.
     pub metrics: Arc<Metrics>,
-    /// Workers that staff has suspended.
+    /// Workers that operators have suspended.
     pub suspensions: Arc<Suspensions>,
 }
 
 impl AdminState {
-    /// For classes of these names.
+    /// Creates the state for classes with these names.
     pub fn new(classes: Vec<String>) -> AdminState {
         AdminState { metrics: Arc::new(Metrics::new(classes)), suspensions: Arc::default() }
     }
 }
 
-/// How an answer counts in the metrics.
+/// The category of an answer in the metrics.
 pub(super) fn job_result(answer: &Answer) -> JobResult {
     match answer {
         Answer::Served(_) => JobResult::Answered,
@@ -37,7 +38,7 @@
 }
 
 impl Core {
-    /// Publishes how many workers are listed, and how many of them the decisions avoid.
+    /// Publishes the number of listed workers, and the number of those that the decision logic avoids.
     pub(super) fn publish_list_metrics(&mut self, now: Micros) {
         if now - self.metrics_published_at < PUBLISH_INTERVAL {
             return;
--- a/dispatcher/src/core/event_loop/attempts.rs
+++ b/dispatcher/src/core/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: their progress, their end, and the ways to stop them.
+//! Attempts in flight: their progress, their end, and how they are stopped.
 
 use super::Core;
 use super::fleets::Host;
@@ -8,7 +8,7 @@
 use roselock::{AttemptUpdate, Event, JobId, LoadReport, Outcome};
 
 impl Core {
-    /// Reports the progress of an attempt to the decisions and to the client.
+    /// Reports the progress of an attempt to the decision logic and to the client.
     pub(super) fn report_progress(&mut self, id: UpstreamId, update: AttemptUpdate) {
         let Some(request) = self.upstreams.open_attempt(id) else { return };
         let progress =
@@ -21,9 +21,9 @@
         }
     }
 
-    /// Tells the decisions that the host of an attempt may still report of it after its end: no further attempt of its
-    /// stream goes there, as nothing in a callback tells which attempt it is of. A host that connected to us reports on
-    /// its own connection.
+    /// Notifies the decision logic that the host of an attempt may still report on it after its end. No further attempt
+    /// of its stream is sent there, because a callback does not identify the attempt. This does not apply to hosts on
+    /// inbound connections: they report on the connection itself.
     pub(super) fn mark_late_report_possible(&mut self, id: UpstreamId) {
         let Some(request) = self.upstreams.open_attempt(id) else { return };
         let reports_by_callback =
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Ends an attempt. This is the one place where an attempt ends.
+    /// Ends an open attempt. Every attempt that was sent or queued ends here.
     pub(super) fn end_attempt(
         &mut self,
         id: UpstreamId,
@@ -62,12 +62,12 @@
         self.streams.remove_if_ended(stream_id);
     }
 
-    /// Ends an attempt for which the host has sent neither a load report nor a result.
+    /// Ends an attempt without a load report and a result from its host.
     pub(super) fn end_attempt_without_report(&mut self, id: UpstreamId, outcome: Outcome) {
         self.end_attempt(id, outcome, LoadReport::default(), Vec::new());
     }
 
-    /// Ends the attempt of a stream that needs none any more, if nothing of it has been sent: it never ran.
+    /// Ends the attempt in flight of a stream that needs none any more, if nothing of it has been sent. It never ran.
     pub(super) fn cancel_unsent(&mut self, stream: StreamId) {
         if let Some(id) = self.streams.get(stream).and_then(|stream| stream.in_flight) {
             self.cancel_unsent_attempt(id);
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Ends the attempts of which nothing has been sent, at hosts of a fleet for which the condition holds: a connection
-    /// might come up after its host has drained.
+    /// Ends the attempts of which nothing has been sent, at the hosts of a fleet that meet the condition. Their
+    /// connections might otherwise be established after the host has drained.
     pub(super) fn cancel_unsent_at(&mut self, fleet: FleetId, condition: impl Fn(&Host) -> bool) {
         let fleets = &self.fleets;
         let ids = self.upstreams.unaccepted_attempts(|request| {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Ends an attempt of which nobody waits for the result any more: before the host has accepted it by closing its
-    /// connection, afterwards by a withdrawal.
+    /// Ends an attempt whose result is not needed any more: by closing its connection before the host has accepted it,
+    /// by a withdrawal afterwards.
     pub(super) fn abandon_attempt(&mut self, id: UpstreamId, outcome: Outcome) {
         let Some(request) = self.upstreams.open_attempt_mut(id) else { return };
         if request.in_dial_queue {
@@ -112,7 +112,7 @@
         let accepted = request.accepted;
         let is_inbound = request.is_on_inbound_connection();
         if is_inbound && !accepted {
-            // The host may be accepting it just now: it reports whether it did.
+            // The host may be accepting it at this moment; it will report whether it did.
             if let Some(connection) = &request.connection {
                 connection.abort(id);
             }
--- a/dispatcher/src/core/event_loop/control_requests.rs
+++ b/dispatcher/src/core/event_loop/control_requests.rs
@@ -1,4 +1,5 @@
-//! Control requests to upstream hosts: health checks, withdrawals of cancelled attempts, and connections opened ahead.
+//! Control requests to upstream hosts: health checks, withdrawals of cancelled attempts, and connections that are
+//! opened in advance.
 
 use super::Core;
 use super::fleets::HostId;
@@ -8,15 +9,16 @@
 use crate::core::{RequestKind, UpstreamId, clock};
 use roselock::{LoadReport, Micros, Outcome};
 
-/// How long a control request may take, in microseconds. A withdrawal that did not reach its host, which may be down or
-/// full, is sent again after this time.
+/// Timeout of a control request, in microseconds. A withdrawal that did not reach its host, which may be down or at
+/// capacity, is retried after the same time.
 const CONTROL_TIMEOUT: Micros = 250_000;
-/// A withdrawal that got no connection is sent again after this time, in microseconds.
-const NO_CONNECTION_RETRY: Micros = 20_000;
+/// How long after a withdrawal got no connection it is retried, in microseconds.
+const NO_CONNECTION_RETRY_DELAY: Micros = 20_000;
 
 impl Core {
-    /// Cancels an attempt whose stream goes on. It ends when the host has answered the withdrawal, since the next attempt
-    /// might arrive before that. One that the host has not accepted yet is withdrawn when it has.
+    /// Cancels an attempt whose stream continues. The attempt ends only when the host has acknowledged the withdrawal,
+    /// since the next attempt might otherwise reach a host before the withdrawal does. If the host has not accepted the
+    /// attempt yet, the withdrawal is sent once it has.
     pub(super) fn cancel_attempt(&mut self, id: UpstreamId) {
         let Some(request) = self.upstreams.open_attempt_mut(id) else { return };
         if request.withdrawal_requested {
@@ -34,42 +36,42 @@
         }
     }
 
-    /// Sends the withdrawal of an attempt.
+    /// Sends the withdrawal of an open attempt.
     pub(super) fn withdraw(&mut self, id: UpstreamId) {
-        let Some((host, kind)) = self.withdrawal(id) else { return };
+        let Some((host, kind)) = self.withdrawal_request(id) else { return };
         self.send_control(host, kind, Some(ConnectionUse::Control), Some(id));
     }
 
     /// The withdrawal of an open attempt, and its host.
-    fn withdrawal(&self, id: UpstreamId) -> Option<(HostId, RequestKind)> {
+    fn withdrawal_request(&self, id: UpstreamId) -> Option<(HostId, RequestKind)> {
         let request = self.upstreams.open_attempt(id)?;
         let payload = self.streams.get(request.stream)?.payload.clone();
         Some((request.host, RequestKind::Withdraw(payload)))
     }
 
-    /// The host has answered the withdrawal of an attempt, which ends with that.
-    pub(super) fn end_withdrawn_attempt(&mut self, control: UpstreamId) {
-        let withdraws = self.upstreams.get_mut(control).and_then(|request| request.withdraws.take());
+    /// Ends the attempt whose withdrawal the host has acknowledged.
+    pub(super) fn end_withdrawn_attempt(&mut self, control_id: UpstreamId) {
+        let withdraws = self.upstreams.get_mut(control_id).and_then(|request| request.withdraws.take());
         let Some(attempt) = withdraws else { return };
         self.mark_late_report_possible(attempt);
         self.end_attempt_without_report(attempt, Outcome::Cancelled);
         self.upstreams.remove_if_done(attempt);
     }
 
-    /// If the connection of a withdrawal has ended before the answer, its host may not know of it: it is sent again, and
-    /// until it arrives the attempt counts as in flight.
-    pub(super) fn retry_withdrawal(&mut self, control: UpstreamId) {
-        let Some(request) = self.upstreams.get_mut(control) else { return };
+    /// Schedules a retry of a withdrawal whose connection was lost before the answer: the host may not have received
+    /// it. Until a withdrawal is acknowledged, the attempt counts as in flight.
+    pub(super) fn retry_withdrawal(&mut self, control_id: UpstreamId) {
+        let Some(request) = self.upstreams.get_mut(control_id) else { return };
         if request.connection.is_some() {
             return;
         }
         let Some(attempt) = request.withdraws.take() else { return };
-        let Some((host, kind)) = self.withdrawal(attempt) else { return };
+        let Some((host, kind)) = self.withdrawal_request(attempt) else { return };
         let due_at = clock::now() + CONTROL_TIMEOUT;
         self.unsent_withdrawals.push(UnsentWithdrawal { due_at, host, kind, withdraws: Some(attempt) });
     }
 
-    /// Sends a control request on a pooled connection, or without a `connection_use` on a new one.
+    /// Sends a control request on a pooled connection; without a `connection_use`, on a new one.
     pub(super) fn send_control(
         &mut self,
         host: HostId,
@@ -87,7 +89,7 @@
             RequestKind::HealthCheck => self.report_health(host, false, LoadReport::default()),
             RequestKind::Preconnect => self.finish_preconnect(host, false),
             RequestKind::Run(_) | RequestKind::Withdraw(_) => {
-                let due_at = now + NO_CONNECTION_RETRY;
+                let due_at = now + NO_CONNECTION_RETRY_DELAY;
                 self.unsent_withdrawals.push(UnsentWithdrawal { due_at, host, kind, withdraws });
             }
         }
--- a/dispatcher/src/core/event_loop/deadlines.rs
+++ b/dispatcher/src/core/event_loop/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of streams and attempts, earliest first.
+//! The queue of deadlines of streams and attempts.
 
 use super::Core;
 use crate::core::{Answer, StreamId, UpstreamId};
@@ -6,18 +6,18 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is due at some time. Of those that are due at the same time the variants come in this order.
+/// A deadline. Deadlines that are due at the same time fire in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Deadline {
     /// An attempt times out.
     Attempt(UpstreamId),
-    /// An attempt has waited long enough in the dial queue of its host.
+    /// An attempt has to leave the dial queue of its host.
     DialQueue(UpstreamId),
-    /// A stream times out that the decisions have not answered.
+    /// A stream that the decision logic has not answered times out.
     Stream(StreamId),
 }
 
-/// The deadlines to come. One whose stream or attempt has ended by then has no effect.
+/// The pending deadlines, earliest first. A deadline has no effect if its stream or attempt has ended by then.
 #[derive(Default)]
 pub(super) struct Deadlines {
     heap: BinaryHeap<Reverse<(Micros, Deadline)>>,
@@ -27,12 +27,12 @@
     pub(super) fn add(&mut self, at: Micros, deadline: Deadline) {
         self.heap.push(Reverse((at, deadline)));
     }
-    /// When the next one is due.
+    /// When the next deadline is due.
     pub(super) fn next_at(&self) -> Option<Micros> {
         let Reverse((at, _)) = self.heap.peek()?;
         Some(*at)
     }
-    /// Removes the next one, if it is due.
+    /// Removes the next deadline, if it is due.
     fn pop_due(&mut self, now: Micros) -> Option<Deadline> {
         if self.next_at()? > now {
             return None;
@@ -43,7 +43,7 @@
 }
 
 impl Core {
-    /// Ends what is due.
+    /// Ends the attempts and streams whose deadlines are due.
     pub(super) fn fire_deadlines(&mut self, now: Micros) {
         while let Some(deadline) = self.deadlines.pop_due(now) {
             match deadline {
--- a/dispatcher/src/core/event_loop/deadlines_tests.rs
+++ b/dispatcher/src/core/event_loop/deadlines_tests.rs
@@ -1,10 +1,10 @@
-//! Deadlines of streams and attempts.
+//! Tests of the deadlines of streams and attempts.
 
 use super::*;
 use rstest::rstest;
 
-/// Guards against deadlines that fire early or out of order: the earliest comes first, and of those at the same time
-/// attempts come before streams.
+/// Guards against deadlines that fire early or out of order: the earliest fires first, and at the same time attempts
+/// precede streams.
 #[rstest]
 fn deadlines_fire_in_order_once_they_are_due() {
     let mut deadlines = Deadlines::default();
--- a/dispatcher/src/core/event_loop/decisions.rs
+++ b/dispatcher/src/core/event_loop/decisions.rs
@@ -1,4 +1,4 @@
-//! Steps of the decisions, and the actions that they return.
+//! Steps of the decision logic, and the actions that it returns.
 
 use super::Core;
 use super::deadlines::Deadline;
@@ -12,7 +12,8 @@
 use std::cmp::Reverse;
 
 impl Core {
-    /// One step of a fleet's decisions, at most once a tick; none if there is nothing to decide.
+    /// Steps the decision logic of a fleet, at most once per tick, if there are events or due timers. The first step
+    /// needs neither.
     pub(super) fn step(&mut self, fleet_id: FleetId, now: Micros) {
         let fleet = &mut self.fleets[fleet_id];
         if now < fleet.stepped_at + fleet.settings.tick {
@@ -33,7 +34,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         fleet.dispatcher.step(now, &fleet.events, &mut actions);
         fleet.events.clear();
-        self.check_list_validity(fleet_id);
+        self.update_list_validity(fleet_id);
         for action in actions.drain(..) {
             self.perform(fleet_id, now, action);
         }
@@ -73,7 +74,7 @@
         tracing::warn!(worker, "{message}");
     }
 
-    /// Stops an attempt that is in flight. Its stream may go on, or be answered already.
+    /// Stops an attempt that is in flight. Its stream may continue, or be answered already.
     fn cancel(&mut self, stream_id: StreamId, attempt: u32) {
         let Some(stream) = self.streams.get(stream_id) else { return };
         let Some(id) = stream.in_flight else { return };
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Sends an attempt of a stream to a host, with a time-out that is 0 for none. One that cannot be sent ends at once.
+    /// Sends an attempt of a stream to a host. A `timeout` of 0 means none. An attempt that cannot be sent ends
+    /// immediately.
     fn send_attempt(&mut self, host: HostId, stream_id: StreamId, now: Micros, timeout: Micros) {
         let settings = &self.fleets[host.fleet].settings;
         let max_attempts = settings.limits.max_attempts;
@@ -112,7 +114,7 @@
         self.deadlines.add(deadline, Deadline::Attempt(id));
     }
 
-    /// Reports to the decisions that an attempt could not be sent.
+    /// Reports to the decision logic that an attempt could not be sent.
     fn report_not_started(&mut self, fleet: FleetId, stream_id: StreamId, attempt: u32) {
         let concluded = self.streams.get(stream_id).is_some_and(|stream| stream.answered);
         self.fleets[fleet].events.push(Event::AttemptEnded {
@@ -125,7 +127,7 @@
     }
 }
 
-/// Whether a stream may have this further attempt now.
+/// Whether this attempt of a stream may be sent now.
 fn may_attempt(stream: &Stream, attempt: u32, now: Micros, max_attempts: u32) -> bool {
     let needs_answer = !stream.answered;
     let is_idle = stream.in_flight.is_none();
--- a/dispatcher/src/core/event_loop/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -1,5 +1,6 @@
-//! The dial queues of upstream hosts: attempts that find no pooled connection and may not dial yet wait for a connection
-//! that becomes free, or for the dial limiter. Nothing of them has been sent, so they may be cancelled at any time.
+//! The dial queues of upstream hosts. An attempt that finds no pooled connection and may not dial yet waits until a
+//! connection becomes free or the dial limiter allows a new one. Nothing of it has been sent, so it may be cancelled at
+//! any time.
 
 use super::Core;
 use super::deadlines::Deadline;
@@ -13,20 +14,21 @@
 use roselock_dial_limiter::{DialLimits, rejected_recently};
 use std::collections::BTreeSet;
 
-/// Most attempts that wait for one host; one more is not sent, and the decisions place it anew.
+/// Maximum number of attempts in the dial queue of one host. A further one is not sent, and the decision logic
+/// schedules it again.
 const MAX_QUEUED_ATTEMPTS: usize = 16;
-/// Longest time that an attempt waits, in microseconds.
+/// Maximum time that an attempt is queued, in microseconds.
 const MAX_QUEUE_TIME: Micros = 500_000;
-/// A dial for which there is no file descriptor is tried again after this time, in microseconds.
-const NO_CAPACITY_RETRY: Micros = 20_000;
-/// An attempt leaves the dial queue this many ticks before its deadline: the decisions place it anew while there is time
-/// to answer that it never ran.
+/// How long after a dial failed for lack of a file descriptor it is retried, in microseconds.
+const NO_CAPACITY_RETRY_DELAY: Micros = 20_000;
+/// How many ticks before its deadline an attempt leaves the dial queue, so that the decision logic can schedule it
+/// again while there is still time to answer that it never ran.
 const TICKS_BEFORE_DEADLINE: Micros = 4;
 
 /// The hosts whose dial queues are not empty.
 pub(super) struct DialQueues {
     hosts: BTreeSet<HostId>,
-    /// State of the generator of jitter for the backoff after a rejection.
+    /// State of the random number generator for the jitter of the backoff after a rejection.
     jitter_state: u64,
 }
 
@@ -37,7 +39,7 @@
     pub(super) fn hosts(&self) -> impl Iterator<Item = HostId> + '_ {
         self.hosts.iter().copied()
     }
-    /// A random number from 0 to 1.
+    /// A random number in [0, 1).
     fn next_jitter(&mut self, now: Micros) -> f64 {
         self.jitter_state = fnv(&(self.jitter_state ^ now as u64).to_le_bytes());
         (self.jitter_state >> 11) as f64 / (1_u64 << 53) as f64
@@ -45,12 +47,12 @@
 }
 
 impl Core {
-    /// Limits new connections to a fleet's hosts.
+    /// Limits new connections to the hosts of a fleet.
     pub fn set_dial_limits(&mut self, fleet: FleetId, limits: DialLimits) {
         self.fleets[fleet].dial_limits = Some(limits);
     }
 
-    /// When a host with a dial queue may be dialled next; never while a connection is opened ahead.
+    /// When a host with queued attempts may be dialled next; `None` while a connection is being opened in advance.
     pub(super) fn next_dial_at(&self, id: HostId) -> Option<Micros> {
         let fleet = &self.fleets[id.fleet];
         let now = clock::now();
@@ -60,12 +62,12 @@
         if fleet.has_dial_capacity(&first.kind) {
             Some(host.dial_limiter.next_dial_at(limits, now))
         } else {
-            // Tried again with the next input, or after a while.
-            Some(now + NO_CAPACITY_RETRY)
+            // Retried with the next input, or after this delay.
+            Some(now + NO_CAPACITY_RETRY_DELAY)
         }
     }
 
-    /// Puts an attempt into the dial queue of its host; none if that is full.
+    /// Puts an attempt into the dial queue of its host. Returns `None` if the queue is full.
     pub(super) fn join_dial_queue(
         &mut self,
         pending: PendingRequest,
@@ -85,7 +87,7 @@
         Some(self.upstreams.insert(PendingRequest { in_dial_queue: true, ..pending }))
     }
 
-    /// Takes an attempt out of its dial queue, if it is in one: it never ran.
+    /// Removes an attempt from its dial queue, if it is in one, and ends it. It never ran.
     pub(super) fn leave_dial_queue(&mut self, id: UpstreamId) {
         let Some(pending) = self.upstreams.get_mut(id) else { return };
         if !pending.in_dial_queue {
@@ -99,7 +101,7 @@
         self.upstreams.remove_if_done(id);
     }
 
-    /// Empties the dial queues of the hosts for which the condition holds.
+    /// Empties the dial queues of the hosts that meet the condition.
     pub(super) fn clear_dial_queues(&mut self, condition: impl Fn(&Host) -> bool) {
         let mut ids = Vec::new();
         for host in self.dial_queues.hosts().filter_map(|id| self.fleets.host(id)) {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Puts the first attempts of a dial queue on pooled connections to its host.
+    /// Starts the first attempts of a dial queue on pooled connections to its host.
     pub(super) fn assign_idle_connections(&mut self, host_id: HostId) {
         let now = clock::now();
         while let Some(first) = self.fleets.host(host_id).and_then(|host| host.dial_queue.front()) {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Dials for the attempts that wait, where the dial limiters allow it.
+    /// Dials for the queued attempts, as far as the dial limiters allow it.
     pub(super) fn serve_dial_queues(&mut self, now: Micros) {
         let hosts: Vec<HostId> = self.dial_queues.hosts().collect();
         for host_id in hosts {
@@ -147,8 +149,8 @@
         }
     }
 
-    /// Dials for the first attempt in a dial queue. For one that must not run twice a connection is opened ahead, if some
-    /// were rejected recently.
+    /// Dials for the first attempt in a dial queue. If the attempt must not run twice and connections were rejected
+    /// recently, only a connection is opened, and the attempt stays queued until the host has accepted the connection.
     fn dial_for_first(&mut self, host_id: HostId, now: Micros) {
         let fleet = &mut self.fleets[host_id.fleet];
         let connect_by = now + fleet.settings.limits.connect_timeout;
@@ -172,8 +174,8 @@
         }
     }
 
-    /// A connection that was opened ahead is up or was rejected; or connecting failed, and then the attempt that it was
-    /// for ends as if it had dialled.
+    /// Handles the end of opening a connection in advance: it was accepted, it was rejected, or connecting failed. In
+    /// the last case the attempt for which it was opened ends as if it had dialled itself.
     pub(super) fn finish_preconnect(&mut self, host_id: HostId, connect_failed: bool) {
         let Some(host) = self.fleets.host_mut(host_id) else { return };
         host.preconnecting = false;
@@ -188,8 +190,8 @@
         self.upstreams.remove_if_done(request.id);
     }
 
-    /// A host has rejected a new connection: it is alive and has no capacity for another one. An attempt of which nothing
-    /// was written waits again.
+    /// Handles the rejection of a new connection: the host is alive, but has no capacity for another connection. An
+    /// attempt of which nothing was written is queued again.
     pub(super) fn handle_connection_rejected(&mut self, id: UpstreamId, request_written: bool) {
         let jitter = self.dial_queues.next_jitter(clock::now());
         let Some(pending) = self.upstreams.get_mut(id) else { return };
@@ -198,7 +200,7 @@
         fleet.last_rejection = Some(clock::now());
         let Some(host) = fleet.hosts.get_mut(&host_id.worker) else { return };
         host.dial_limiter.record_rejected(clock::now(), jitter);
-        if let Some(kind) = pending.control.take() {
+        if let Some(kind) = pending.control_kind.take() {
             if matches!(kind, RequestKind::HealthCheck) {
                 self.report_health(host_id, false, LoadReport::default());
             }
@@ -208,14 +210,14 @@
             return;
         }
         let is_limited = fleet.dial_limits.is_some();
-        let may_wait = is_limited && !request_written && !pending.withdrawal_requested && host.is_ready();
-        if !may_wait || !self.rejoin_dial_queue(id) {
+        let may_rejoin = is_limited && !request_written && !pending.withdrawal_requested && host.is_ready();
+        if !may_rejoin || !self.rejoin_dial_queue(id) {
             self.end_rejected_attempt(id, request_written, is_limited);
         }
     }
 
-    /// Puts an attempt whose connection was rejected at the head of the dial queue of its host; false if that is full or
-    /// its stream needs no answer any more.
+    /// Puts an attempt whose connection was rejected at the head of the dial queue of its host. Returns false if the
+    /// queue is full or the stream needs no answer any more.
     fn rejoin_dial_queue(&mut self, id: UpstreamId) -> bool {
         let Some(pending) = self.upstreams.get_mut(id) else { return false };
         let Some(stream) = self.streams.get_unanswered(pending.stream) else { return false };
@@ -228,7 +230,7 @@
         host.dial_queue.push_front(UpstreamRequest {
             id,
             kind: RequestKind::Run(stream.payload.clone()),
-            // Set when it dials.
+            // Set when the attempt dials.
             connect_by: 0,
             begin_by: stream.begin_by,
             deadline: stream.deadline,
--- a/dispatcher/src/core/event_loop/endpoint_list.rs
+++ b/dispatcher/src/core/event_loop/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: applied to the hosts of a fleet, its age, and the readiness of the process.
+//! The endpoint list: its application to the hosts of a fleet, its validity, and the readiness of the process.
 
 use super::Core;
 use super::fleets::{Fleet, Host};
@@ -6,28 +6,28 @@
 use roselock::{EndpointState, Event, ListMode, LoadReport, Micros, Outcome};
 use roselock_discovery_client::startup_stage::StartupProgress;
 
-/// Most hosts that are remembered after they are gone.
+/// Maximum number of hosts per fleet that are remembered after they are gone.
 const MAX_GONE_HOSTS: usize = 1024;
 
-/// How far the endpoint lists of all fleets can be relied on.
+/// The status of the endpoint lists of all fleets.
 pub(super) struct ListStatus {
-    /// The lists of all fleets were valid at the same time at least once.
+    /// Whether the lists of all fleets were valid at the same time at least once.
     was_valid: bool,
-    /// How far the start has come.
+    /// The progress of the startup.
     pub(super) startup: StartupProgress,
 }
 
 impl ListStatus {
-    /// At the start, with a cached list or without one.
+    /// The status at startup, with or without a cached list.
     pub(super) fn new(now: Micros, has_cached_list: bool) -> ListStatus {
         ListStatus { was_valid: false, startup: StartupProgress::new(now, has_cached_list) }
     }
 }
 
 impl Core {
-    /// Applies the endpoint list of a fleet, or changes of it.
+    /// Applies the endpoint list of a fleet, or changes to it.
     pub(super) fn apply_list(&mut self, fleet: FleetId, mode: ListMode, hosts: Vec<ListedHost>) {
-        self.admin.suspensions.note_listed(hosts.iter().map(|listed| listed.uid.as_str()));
+        self.admin.suspensions.record_listed(hosts.iter().map(|listed| listed.uid.as_str()));
         for listed in &hosts {
             if listed.endpoint.state == EndpointState::Gone && listed.address.is_none() {
                 self.end_unaccepted_attempts(fleet, listed);
@@ -39,10 +39,10 @@
         self.update_readiness();
     }
 
-    /// Ends the attempts that a host which had connected to us did not accept before it left: they have not run.
-    fn end_unaccepted_attempts(&mut self, fleet: FleetId, left: &ListedHost) {
+    /// Ends the attempts that a host on an inbound connection had not accepted before it left. They have not run.
+    fn end_unaccepted_attempts(&mut self, fleet: FleetId, departed: &ListedHost) {
         let ids = self.upstreams.unaccepted_attempts(|request| {
-            request.host.fleet == fleet && request.host.worker == left.endpoint.worker
+            request.host.fleet == fleet && request.host.worker == departed.endpoint.worker
         });
         for id in ids {
             let event = UpstreamEvent::Ended {
@@ -54,8 +54,9 @@
         }
     }
 
-    /// The process is ready once some host takes work and the list was valid once. From then on a list that has expired
-    /// does not make the process unready: all dispatchers would be so at the same time.
+    /// Updates the readiness of the process: it is ready if any host accepts jobs and the list has been valid once.
+    /// After that, an expired list does not make the process unready: all dispatchers would become unready at the same
+    /// time.
     fn update_readiness(&mut self) {
         let mut listed = self.fleets.iter().filter(|fleet| fleet.dialer.is_some());
         self.list_status.was_valid |= listed.all(|fleet| fleet.dispatcher.list_is_valid());
@@ -63,8 +64,8 @@
         self.inbox.set_has_ready_host(has_ready_host && self.list_status.was_valid);
     }
 
-    /// Logs when the list of a fleet expires, and when it is valid again.
-    pub(super) fn check_list_validity(&mut self, fleet: FleetId) {
+    /// Updates the validity of a fleet's list after a step. Logs when the list expires and when it is valid again.
+    pub(super) fn update_list_validity(&mut self, fleet: FleetId) {
         let fleet = &mut self.fleets[fleet];
         let is_valid = fleet.dispatcher.list_is_valid();
         if fleet.list_is_valid == is_valid {
@@ -76,11 +77,12 @@
         } else if is_valid {
             tracing::info!("endpoint list synchronized");
         } else {
-            tracing::warn!("endpoint list expired, sending nothing new until discovery answers");
+            tracing::warn!("endpoint list expired, no new attempts until the discovery service responds");
         }
     }
 
-    /// Notes that discovery has confirmed the list of a fleet that it serves.
+    /// Records that the discovery service has confirmed the list of a fleet, unless all hosts of the fleet are on
+    /// inbound connections.
     pub(super) fn record_list_confirmation(&mut self, fleet: FleetId) {
         if self.fleets[fleet].dialer.is_none() {
             return;
@@ -96,13 +98,13 @@
         self.admin.metrics.start(startup, confirmed_after);
     }
 
-    /// Notes that a watch on the endpoint list is being opened, or the list polled.
+    /// Records that the endpoint list is being polled, or a watch on it opened.
     pub(super) fn record_watch_start(&mut self) {
         self.list_status.startup.record_call();
         self.admin.metrics.start(&self.list_status.startup, None);
     }
 
-    /// Notes that a watch on the endpoint list has ended, or could not be opened.
+    /// Records that a watch on the endpoint list has ended, or could not be opened.
     pub(super) fn record_watch_end(&mut self) {
         self.list_status.startup.record_watch_end();
         self.admin.metrics.start(&self.list_status.startup, None);
@@ -110,7 +112,7 @@
 }
 
 impl Fleet {
-    /// Applies the endpoint list to the hosts, and passes it to the decisions.
+    /// Applies the endpoint list to the hosts, and passes it to the decision logic.
     fn apply_list(&mut self, mode: ListMode, hosts: Vec<ListedHost>) {
         if mode.is_complete() {
             self.mark_unlisted_hosts_gone(&hosts);
--- a/dispatcher/src/core/event_loop/fleets.rs
+++ b/dispatcher/src/core/event_loop/fleets.rs
@@ -10,7 +10,7 @@
 use std::ops::{Index, IndexMut};
 use std::sync::Arc;
 
-/// Which upstream host: fleets may share a worker, each with a host of its own for it.
+/// Identifies an upstream host. Fleets may share a worker; each then has its own host for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HostId {
     pub(super) fleet: FleetId,
@@ -21,22 +21,22 @@
 pub(super) struct Host {
     /// Its name on the wire.
     pub(super) uid: String,
-    /// The address to dial; a host that connected to us has none.
+    /// The address to dial; `None` for a host on an inbound connection.
     pub(super) address: Option<SocketAddr>,
     pub(super) pool: Pool,
-    /// Its own connection, where it connected to us.
+    /// Its inbound connection, if the host opened one.
     pub(super) connection: Option<Arc<dyn UpstreamConnection>>,
     /// Its latest entry in the endpoint list.
     pub(super) entry: Endpoint,
     pub(super) dial_limiter: DialLimiter,
-    /// Attempts that wait for a connection to it.
+    /// Attempts that wait for a connection to the host.
     pub(super) dial_queue: VecDeque<UpstreamRequest>,
-    /// A connection is being opened ahead for the first attempt in the dial queue.
+    /// Whether a connection is being opened in advance for the first attempt in the dial queue.
     pub(super) preconnecting: bool,
 }
 
 impl Host {
-    /// A host that is listed for the first time. [`Host::update`] takes its address and connection.
+    /// Creates a host that is listed for the first time. [`Host::update`] sets its address and connection.
     pub(super) fn new(listed: &ListedHost) -> Host {
         Host {
             uid: listed.uid.clone(),
@@ -49,8 +49,8 @@
             preconnecting: false,
         }
     }
-    /// Applies an entry of the endpoint list. Connections to a host that has restarted or moved, or takes no work, are
-    /// not used any more.
+    /// Applies an entry of the endpoint list. Pooled connections are dropped if the host has restarted, has moved or is
+    /// not ready.
     pub(super) fn update(&mut self, listed: ListedHost) {
         let has_restarted = listed.endpoint.started_at != self.entry.started_at;
         let has_moved = listed.address != self.address;
@@ -70,23 +70,23 @@
     }
 }
 
-/// A fleet: upstream hosts that share one instance of the decisions.
+/// A fleet: upstream hosts that share one instance of the decision logic.
 pub(super) struct Fleet {
     pub(super) dispatcher: Dispatcher,
     pub(super) settings: Settings,
-    /// Opens connections; a fleet without one has only hosts that connect to us.
+    /// Opens connections; `None` if all hosts are on inbound connections.
     pub(super) dialer: Option<Box<dyn Dialer>>,
     pub(super) hosts: BTreeMap<WorkerId, Host>,
     pub(super) idle_timeout: IdleTimeoutEstimate,
-    /// Events for the next step of the decisions.
+    /// Events for the next step of the decision logic.
     pub(super) events: Vec<Event>,
-    /// Timers of the decisions, with their tokens, earliest first.
+    /// Timers of the decision logic, with their tokens, earliest first.
     pub(super) timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// When the decisions last stepped; 0: they have not yet.
+    /// When the decision logic last stepped; 0 if it has not stepped yet.
     pub(super) stepped_at: Micros,
-    /// Limits of new connections to its hosts; none: they are dialled at once.
+    /// Limits on new connections to its hosts; `None` if they are dialled without delay.
     pub(super) dial_limits: Option<DialLimits>,
-    /// When a new connection was last rejected.
+    /// When a host last rejected a new connection.
     pub(super) last_rejection: Option<Micros>,
     /// Whether its endpoint list was valid at the latest step.
     pub(super) list_is_valid: bool,
@@ -108,7 +108,7 @@
             list_is_valid: false,
         }
     }
-    /// Applies new settings; those that the decisions reject are logged, and the current ones stay.
+    /// Applies new settings. If the decision logic rejects them, logs the reason and keeps the current ones.
     pub(super) fn update_settings(&mut self, settings: Settings) {
         if let Err(reason) = self.dispatcher.update_settings(&settings) {
             tracing::warn!(%reason, "settings rejected, keeping the current ones");
@@ -121,7 +121,8 @@
     pub(super) fn has_dial_capacity(&self, kind: &RequestKind) -> bool {
         self.dialer.as_ref().is_some_and(|dialer| dialer.has_capacity(kind))
     }
-    /// When the decisions next step: at once if there are events, but at most once a tick; otherwise with the next timer.
+    /// When the decision logic steps next: immediately if there are events, otherwise with the next timer, and at most
+    /// once per tick.
     pub(super) fn next_step_at(&self) -> Option<Micros> {
         let earliest = self.stepped_at + self.settings.tick;
         if !self.events.is_empty() {
@@ -132,17 +133,17 @@
     }
 }
 
-/// How long a connection may idle by the settings, with a margin, in microseconds.
+/// How long a connection may be idle according to the settings, reduced by a margin, in microseconds.
 pub(super) fn configured_idle_timeout(settings: &Settings) -> Micros {
     settings.limits.idle_timeout * 2 / 3
 }
 
-/// All fleets, by their numbers.
+/// All fleets, indexed by their numbers.
 #[derive(Default)]
 pub(super) struct Fleets {
     fleets: Vec<Fleet>,
     /// The fleet that steps first in the current round.
-    first: FleetId,
+    first_in_round: FleetId,
 }
 
 impl Fleets {
@@ -159,11 +160,11 @@
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Fleet> {
         self.fleets.iter_mut()
     }
-    /// The order in which the fleets step next. Fleets may share hosts: a different one is first each time, so that none
+    /// The order in which the fleets step next. Fleets may share hosts, so a different fleet is first each time: none
     /// always gets the hosts that become free.
     pub(super) fn next_round(&mut self) -> impl Iterator<Item = FleetId> + use<> {
-        self.first = (self.first + 1) % self.fleets.len();
-        (self.first..self.fleets.len()).chain(0..self.first)
+        self.first_in_round = (self.first_in_round + 1) % self.fleets.len();
+        (self.first_in_round..self.fleets.len()).chain(0..self.first_in_round)
     }
     pub(super) fn host(&self, id: HostId) -> Option<&Host> {
         self.fleets[id.fleet].hosts.get(&id.worker)
--- a/dispatcher/src/core/event_loop/idle_connections.rs
+++ b/dispatcher/src/core/event_loop/idle_connections.rs
@@ -1,4 +1,4 @@
-//! The pools of idle connections: used by attempts that wait for a connection, and expired.
+//! Use and expiry of the idle connections in the pools of hosts.
 
 use super::Core;
 use super::fleets::{HostId, configured_idle_timeout};
@@ -11,7 +11,7 @@
 const EXPIRY_INTERVAL: Micros = 500_000;
 
 impl Core {
-    /// Takes a connection that is still usable in this way from the pool of a host.
+    /// Takes a connection from the pool of a host, if one is eligible for this use.
     pub(super) fn take_idle_connection(
         &mut self,
         id: HostId,
@@ -23,7 +23,7 @@
         fleet.hosts.get_mut(&id.worker)?.pool.take(now, oldest_usable, connection_use)
     }
 
-    /// Closes one idle connection of a fleet, the oldest one to the first host that has any.
+    /// Closes one idle connection of a fleet: the oldest one of the first host that has any.
     pub(super) fn close_oldest_idle_connection(&mut self, fleet: FleetId) {
         for host in self.fleets[fleet].hosts.values_mut() {
             if host.pool.drop_oldest() {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Closes idle connections well before their hosts would.
+    /// Closes idle connections well before their hosts would close them.
     pub(super) fn expire_idle_connections(&mut self, now: Micros) {
         if now - self.idle_expired_at < EXPIRY_INTERVAL {
             return;
@@ -40,7 +40,7 @@
         self.idle_expired_at = now;
         for fleet in self.fleets.iter_mut() {
             let timeout_cutoff = now - configured_idle_timeout(&fleet.settings);
-            // Where new connections are limited, one that is not used keeps another dispatcher out.
+            // If new connections are limited, an unused one prevents another dispatcher from connecting.
             let cutoff = match fleet.dial_limits {
                 Some(_) => timeout_cutoff.max(now - SURPLUS_AFTER),
                 None => timeout_cutoff,
@@ -54,7 +54,7 @@
     }
 }
 
-/// How an upstream request uses its connection: an attempt of this class, or without a class a control request.
+/// How an upstream request uses its connection: an attempt of this class, or a control request if there is no class.
 pub(super) fn connection_use(settings: &Settings, class: Option<usize>) -> ConnectionUse {
     let Some(class) = class else { return ConnectionUse::Control };
     match settings.classes[class].idempotency {
--- a/dispatcher/src/core/event_loop/recent_job_ids.rs
+++ b/dispatcher/src/core/event_loop/recent_job_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of jobs that finished a short while ago.
+//! The ids of recently finished jobs.
 
 use roselock::Micros;
 use roselock::settings::fnv;
@@ -6,11 +6,11 @@
 
 /// How long an id is remembered, in microseconds.
 const RETENTION: Micros = 60_000_000;
-/// Most ids that are remembered.
+/// Maximum number of remembered ids.
 const MAX_IDS: usize = 8192;
 
-/// The hashes of the ids of finished jobs of which an attempt was made. An id is new with every request: one that was
-/// sent to a host before would take effect a second time.
+/// The hashes of the ids of recently finished jobs of which an attempt was made. Clients use a new id for each request:
+/// a request whose id was sent to a host before would take effect a second time.
 #[derive(Default)]
 pub(super) struct RecentJobIds {
     by_age: VecDeque<RecentId>,
--- a/dispatcher/src/core/event_loop/request_start.rs
+++ b/dispatcher/src/core/event_loop/request_start.rs
@@ -1,4 +1,5 @@
-//! How an upstream request gets a connection: an inbound one, a pooled one, a new one, or a place in the dial queue.
+//! Assignment of a connection to an upstream request: an inbound, a pooled or a new one, or else a place in the dial
+//! queue.
 
 use super::Core;
 use super::upstream_requests::PendingRequest;
@@ -10,8 +11,9 @@
 use std::sync::Arc;
 
 impl Core {
-    /// Puts an upstream request on a connection: a pooled one, if there is one for this use, or else a new one. Without a
-    /// use it goes on a new one. An attempt may wait in the dial queue of its host. None if it got no connection.
+    /// Starts an upstream request on the inbound connection of its host, on a pooled connection that is eligible for
+    /// `connection_use`, or on a new one; without a `connection_use` pooled connections are not used. An attempt may be
+    /// put into the dial queue of its host. Returns `None` if the request could neither be started nor queued.
     pub(super) fn start_request(
         &mut self,
         pending: PendingRequest,
@@ -33,7 +35,7 @@
             return self.start_on(idle.connection, PendingRequest { reused_idle, ..pending }, request);
         }
         if !self.fleets[pending.host.fleet].has_dial_capacity(&request.kind) {
-            // All file descriptors are in use: closing an idle connection makes one available for the next attempt.
+            // All file descriptors are in use. Closing an idle connection makes one available for the next attempt.
             self.close_oldest_idle_connection(pending.host.fleet);
             return None;
         }
@@ -41,7 +43,7 @@
         if is_preconnect || self.may_dial(&pending, &request, connection_use, now) {
             return self.dial(address, pending, request);
         }
-        // Only attempts wait; a control request without a connection is the caller's to repeat.
+        // Only attempts are queued; the caller retries a control request that got no connection.
         match request.class {
             Some(_) => self.join_dial_queue(pending, request),
             None => None,
@@ -79,8 +81,9 @@
         Some(self.upstreams.insert(PendingRequest { connection: Some(connection), ..pending }))
     }
 
-    /// Whether the dial limits of the host allow a new connection now. If so, the dial counts. Attempts keep their order:
-    /// none passes those that wait. What must not run twice is not put on a new connection while some are rejected.
+    /// Whether the dial limits of the host allow a new connection now; if so, the dial is recorded. Attempts keep their
+    /// order: none overtakes queued ones. While connections are being rejected, an attempt that must not run twice is
+    /// not sent on a new connection.
     fn may_dial(
         &mut self,
         pending: &PendingRequest,
@@ -93,9 +96,9 @@
         let Some(host) = fleet.hosts.get_mut(&pending.host.worker) else { return false };
         let needs_accepted_connection =
             connection_use == Some(ConnectionUse::Once) && rejected_recently(fleet.last_rejection, now);
-        let others_wait = !host.dial_queue.is_empty() && request.class.is_some();
+        let would_overtake = !host.dial_queue.is_empty() && request.class.is_some();
         let is_limited = host.dial_limiter.next_dial_at(limits, now) > now;
-        if is_limited || needs_accepted_connection || others_wait {
+        if is_limited || needs_accepted_connection || would_overtake {
             return false;
         }
         host.dial_limiter.record_dial(limits, now);
--- a/dispatcher/src/core/event_loop/stream_table.rs
+++ b/dispatcher/src/core/event_loop/stream_table.rs
@@ -1,4 +1,4 @@
-//! The streams that have not ended, by number and by job id.
+//! The table of streams that have not ended, by number and by job id.
 
 use super::recent_job_ids::RecentJobIds;
 use crate::core::{Answer, Downstream, FleetId, NewStream, Payload, StreamId, UpstreamId, clock};
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A repeated attempt is sent no later than this before the end of its window, in microseconds: it takes that long to
-/// reach the host.
+/// How long before the end of its window a repeated attempt is sent at the latest, in microseconds, since it takes time
+/// to reach the host.
 const REPEAT_WINDOW_MARGIN: Micros = 10_000;
 
-/// A stream.
+/// A stream that has not ended.
 pub(super) struct Stream {
     pub(super) fleet: FleetId,
     pub(super) class: ClassId,
@@ -20,20 +20,20 @@
     pub(super) payload: Arc<Payload>,
     pub(super) deadline: Micros,
     pub(super) downstream: Box<dyn Downstream>,
-    /// Its final answer is given, or its client has disconnected.
+    /// Whether its final answer has been given, or its client has disconnected.
     pub(super) answered: bool,
-    /// Attempts that the decisions have made, those that could not be sent included.
+    /// The number of attempts that the decision logic has made, including those that could not be sent.
     pub(super) attempts: u32,
     /// The attempt in flight.
     pub(super) in_flight: Option<UpstreamId>,
-    /// The window in which an attempt may be repeated, if its class has one, by the settings at its arrival.
+    /// The window in which an attempt may be repeated, if its class had one in the settings when it arrived.
     pub(super) repeat_window: Option<Micros>,
-    /// From this time on it may not begin again: the end of the window of the first attempt that may have run.
+    /// From this time on no further attempt may begin: the end of the window of the first attempt that may have run.
     pub(super) begin_by: Micros,
-    /// Attempts that may have run, with those before it arrived.
+    /// The number of attempts that may have run, including those of earlier streams of the same job.
     pub(super) attempts_run: u32,
-    /// Its latest attempt timed out.
-    pub(super) last_timed_out: bool,
+    /// Whether its latest attempt timed out.
+    pub(super) last_attempt_timed_out: bool,
     /// The address of the host to which it was sent last.
     pub(super) last_upstream: Option<SocketAddr>,
 }
@@ -54,17 +54,17 @@
             repeat_window,
             begin_by: Micros::MAX,
             attempts_run: new.prior_attempts,
-            last_timed_out: false,
+            last_attempt_timed_out: false,
             last_upstream: None,
         }
     }
-    /// Notes that the attempt in flight has ended.
+    /// Records that the attempt in flight has ended.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
         self.in_flight = None;
         self.downstream.running(false);
-        self.last_timed_out = outcome == Outcome::Timeout;
+        self.last_attempt_timed_out = outcome == Outcome::Timeout;
     }
-    /// Notes that an attempt that was sent at this time may have run.
+    /// Records that an attempt that was sent at this time may have run.
     pub(super) fn attempt_may_have_run(&mut self, sent_at: Micros) {
         self.attempts_run += 1;
         if let Some(window) = self.repeat_window {
@@ -73,19 +73,19 @@
     }
 }
 
-/// The client's side of a stream whose client has disconnected.
+/// The client side of a stream whose client has disconnected.
 pub(super) struct DisconnectedClient;
 
 impl Downstream for DisconnectedClient {
     fn answer(&self, _: Answer, _: u32) {}
 }
 
-/// The streams that have not ended: those that are owed an answer or have an attempt in flight.
+/// The streams that have not ended: those that are unanswered or have an attempt in flight.
 #[derive(Default)]
 pub(super) struct StreamTable {
     pub(super) by_id: HashMap<StreamId, Stream>,
     by_job_id: HashMap<String, StreamId>,
-    recent: RecentJobIds,
+    recent_job_ids: RecentJobIds,
 }
 
 impl StreamTable {
@@ -105,21 +105,22 @@
     pub(super) fn get_unanswered_mut(&mut self, id: StreamId) -> Option<&mut Stream> {
         self.by_id.get_mut(&id).filter(|stream| !stream.answered)
     }
-    pub(super) fn with_job_id(&self, job_id: &str) -> Option<&Stream> {
+    pub(super) fn get_by_job_id(&self, job_id: &str) -> Option<&Stream> {
         self.by_job_id.get(job_id).and_then(|id| self.by_id.get(id))
     }
     pub(super) fn contains_job_id(&self, job_id: &str) -> bool {
         self.by_job_id.contains_key(job_id)
     }
-    /// Whether a stream has this job id or had it recently. Two at a time could not be told apart by the callbacks of the
-    /// hosts, and an id is new with every request: one that was sent to a host before would take effect again.
+    /// Whether a stream has this job id or had it recently. Callbacks of hosts could not distinguish two streams with
+    /// the same id. Clients use a new id for each request: one that was sent to a host before would take effect a
+    /// second time.
     pub(super) fn is_duplicate(&mut self, job_id: &str, now: Micros) -> bool {
-        self.contains_job_id(job_id) || self.recent.contains(job_id, now)
+        self.contains_job_id(job_id) || self.recent_job_ids.contains(job_id, now)
     }
     pub(super) fn all_answered(&self) -> bool {
         self.by_id.values().all(|stream| stream.answered)
     }
-    /// Removes a stream that is owed no answer and has no attempt in flight.
+    /// Removes a stream that is answered and has no attempt in flight.
     pub(super) fn remove_if_ended(&mut self, id: StreamId) {
         let Some(stream) = self.by_id.get(&id) else { return };
         if !stream.answered || stream.in_flight.is_some() {
@@ -128,7 +129,7 @@
         let job_id = stream.payload.id();
         self.by_job_id.remove(job_id);
         if stream.attempts > 0 {
-            self.recent.insert(job_id, clock::now());
+            self.recent_job_ids.insert(job_id, clock::now());
         }
         self.by_id.remove(&id);
     }
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: admitted, answered once, recorded.
+//! The life cycle of a stream: admission, the final answer, and the record of its end.
 
 use super::Core;
 use super::admin_state::job_result;
@@ -7,11 +7,11 @@
 use crate::core::{Answer, FleetId, Flow, NewStream, StreamId, StreamOutcome, clock};
 use roselock::{ClassId, Event, Idempotency, JobId, JobRequest, Micros};
 
-/// A stream that the decisions have not answered is answered here this long after its deadline, in microseconds.
+/// How long after its deadline a stream is answered here if the decision logic has not answered it, in microseconds.
 const ANSWER_GRACE: Micros = 5_000;
 
 impl Core {
-    /// Admits a stream, or answers it at once.
+    /// Admits a stream, or answers it immediately if it cannot be admitted.
     pub(super) fn admit_stream(&mut self, mut new: NewStream) {
         let now = clock::now();
         let shutdown = self.inbox.shutdown_deadlines();
@@ -21,7 +21,7 @@
                 return self.reject(new, Answer::Rejected(roselock::SECOND));
             }
         }
-        if !self.receive_fleet(new.fleet) {
+        if !self.wait_for_fleet(new.fleet) {
             return;
         }
         self.last_arrival_at = now;
@@ -39,9 +39,9 @@
         self.streams.insert(new.id, job_id, Stream::new(new, now, repeat_window));
     }
 
-    /// Handles inputs until the fleet has been added: a job source may be ahead of the message that adds it, which was
-    /// posted before the job was released. False if the queue has closed.
-    fn receive_fleet(&mut self, fleet: FleetId) -> bool {
+    /// Handles inputs until the fleet has been added. A job source may release a job before the message that adds its
+    /// fleet is handled; the message was posted before the release. Returns false if the queue is closed.
+    fn wait_for_fleet(&mut self, fleet: FleetId) -> bool {
         while fleet >= self.fleets.len() {
             let Ok(input) = self.inputs.recv() else { return false };
             self.handle(input);
@@ -63,14 +63,14 @@
         new.downstream.answer(answer, new.prior_attempts);
     }
 
-    /// Gives the final answer, once.
+    /// Sends the final answer of a stream, unless it is answered already.
     pub(super) fn answer(&mut self, id: StreamId, answer: Answer) {
         let Some(stream) = self.streams.get_unanswered_mut(id) else { return };
         stream.answered = true;
-        // One that is in flight may run, too.
+        // An attempt in flight may run, too.
         let attempts_run = stream.attempts_run + u32::from(stream.in_flight.is_some());
         let answer = match answer {
-            Answer::Failed if stream.last_timed_out => Answer::TimedOut,
+            Answer::Failed if stream.last_attempt_timed_out => Answer::TimedOut,
             answer => answer,
         };
         let (outcome, bytes_sent) = match &answer {
@@ -86,11 +86,11 @@
         self.streams.remove_if_ended(id);
     }
 
-    /// The client of a stream has disconnected: no answer is owed any more.
+    /// Handles the disconnection of a stream's client, which needs no answer any more.
     pub(super) fn disconnect_client(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get_unanswered_mut(id) else { return };
         stream.answered = true;
-        // The client's connection need not stay open for as long as an attempt may be in flight.
+        // Releases the client's connection, which would otherwise stay open while an attempt is in flight.
         stream.downstream = Box::new(DisconnectedClient);
         let fleet = stream.fleet;
         self.cancel_unsent(id);
@@ -100,7 +100,7 @@
         self.streams.remove_if_ended(id);
     }
 
-    /// Logs a finished stream and passes it to the flow records.
+    /// Logs a finished stream and passes its flow record to the sink.
     fn record(&self, id: StreamId, outcome: StreamOutcome, bytes_sent: usize) {
         let Some(stream) = self.streams.get(id) else { return };
         tracing::debug!(
@@ -128,7 +128,7 @@
     }
 }
 
-/// The job of a stream, for the decisions.
+/// The job of a stream, for the decision logic.
 fn job_request(new: &NewStream, now: Micros) -> JobRequest {
     JobRequest {
         job: JobId(new.id),
--- a/dispatcher/src/core/event_loop/suspended_workers.rs
+++ b/dispatcher/src/core/event_loop/suspended_workers.rs
@@ -1,20 +1,20 @@
-//! Notifies the decisions of workers that staff has suspended or restored.
+//! Notifies the decision logic of workers that operators have suspended or restored.
 
 use super::Core;
 use roselock::{Event, WorkerId};
 use std::collections::BTreeSet;
 
-/// The suspensions of which the decisions have been notified.
+/// The suspensions of which the decision logic has been notified.
 #[derive(Default)]
-pub(super) struct NotifiedSuspensions {
-    /// The number of the latest change of which they have been notified.
+pub(super) struct AppliedSuspensions {
+    /// The generation of the latest of these changes.
     generation: u64,
     workers: BTreeSet<WorkerId>,
 }
 
 impl Core {
-    /// Notifies the decisions of each fleet of the workers that were suspended or restored since the last call. Attempts
-    /// of which nothing has been sent to a suspended worker end.
+    /// Notifies the decision logic of each fleet of the workers that were suspended or restored since the last call.
+    /// Ends the attempts at suspended workers of which nothing has been sent.
     pub(super) fn apply_suspensions(&mut self) {
         let Some(change) = self.admin.suspensions.changed_since(self.suspensions.generation) else {
             return;
@@ -32,7 +32,7 @@
         for fleet in 0..self.fleets.len() {
             self.cancel_unsent_at(fleet, |host| suspended.contains(&host.entry.worker));
         }
-        self.suspensions = NotifiedSuspensions { generation: change.generation, workers: suspended };
+        self.suspensions = AppliedSuspensions { generation: change.generation, workers: suspended };
         self.metrics_published_at = 0;
         self.admin.suspensions.mark_applied(change.generation);
     }
--- a/dispatcher/src/core/event_loop/unsent_withdrawals.rs
+++ b/dispatcher/src/core/event_loop/unsent_withdrawals.rs
@@ -1,4 +1,4 @@
-//! Withdrawals that have not reached their hosts and are sent again.
+//! The queue of withdrawals that have not reached their hosts and are retried.
 
 use super::Core;
 use super::fleets::HostId;
@@ -7,20 +7,20 @@
 use roselock::Micros;
 use std::collections::VecDeque;
 
-/// Most withdrawals that wait to be sent again; one more is dropped.
+/// Maximum number of withdrawals that wait for a retry; a further one is dropped.
 const MAX_UNSENT: usize = 1024;
 
-/// A withdrawal that is to be sent again.
+/// A withdrawal that waits for a retry.
 pub(super) struct UnsentWithdrawal {
-    /// When it is sent again.
+    /// When it is retried.
     pub(super) due_at: Micros,
     pub(super) host: HostId,
     pub(super) kind: RequestKind,
-    /// The attempt that ends with it.
+    /// The attempt that ends with it, if any.
     pub(super) withdraws: Option<UpstreamId>,
 }
 
-/// The withdrawals that are to be sent again, the next one due first.
+/// The withdrawals that wait for a retry, in the order in which they are due.
 #[derive(Default)]
 pub(super) struct UnsentWithdrawals {
     queue: VecDeque<UnsentWithdrawal>,
@@ -29,7 +29,7 @@
 impl UnsentWithdrawals {
     pub(super) fn push(&mut self, unsent: UnsentWithdrawal) {
         if self.queue.len() >= MAX_UNSENT {
-            tracing::warn!(limit = MAX_UNSENT, "too many withdrawals wait to be sent again, dropping one");
+            tracing::warn!(limit = MAX_UNSENT, "retry queue of withdrawals is full, dropping a withdrawal");
             return;
         }
         let index = self.queue.partition_point(|queued| queued.due_at <= unsent.due_at);
@@ -49,10 +49,11 @@
 }
 
 impl Core {
-    /// Sends withdrawals again that have not reached their hosts.
+    /// Retries the withdrawals that are due.
     pub(super) fn send_unsent_withdrawals(&mut self, now: Micros) {
         while let Some(unsent) = self.unsent_withdrawals.pop_due(now) {
-            // One that ends no attempt is not sent to a host that is gone; an attempt in flight may still run there.
+            // A withdrawal that ends no attempt is not sent to a host that is gone. One that ends an attempt is, since
+            // the attempt may still be running there.
             let is_wanted = match unsent.withdraws {
                 Some(attempt) => self.upstreams.open_attempt(attempt).is_some(),
                 None => self.fleets.host(unsent.host).is_some_and(|host| !host.is_gone()),
--- a/dispatcher/src/core/event_loop/unsent_withdrawals_tests.rs
+++ b/dispatcher/src/core/event_loop/unsent_withdrawals_tests.rs
@@ -1,4 +1,4 @@
-//! Withdrawals that have not reached their hosts.
+//! Tests of the queue of withdrawals that have not reached their hosts.
 
 use super::*;
 use roselock::WorkerId;
@@ -18,8 +18,8 @@
     queue.pop_due(now)?.withdraws
 }
 
-/// Guards against a withdrawal that waits behind one that is due later, and against one that is sent too early. Those that
-/// are due at the same time keep their order.
+/// Guards against a withdrawal that is delayed by one that is due later, and against one that is retried too early.
+/// Withdrawals that are due at the same time keep their order.
 #[rstest]
 fn withdrawals_are_sent_in_the_order_in_which_they_are_due() {
     let mut queue = UnsentWithdrawals::default();
--- a/dispatcher/src/core/event_loop/upstream_events.rs
+++ b/dispatcher/src/core/event_loop/upstream_events.rs
@@ -1,15 +1,15 @@
-//! What happens to upstream requests: events on their connections, and callbacks of their hosts.
+//! Handling of events of upstream requests: those on their connections, and callbacks of their hosts.
 
 use super::Core;
 use super::fleets::HostId;
-use crate::core::pool::{ConnectionUse, REST_AFTER_ANSWER};
+use crate::core::pool::{ConnectionUse, REUSE_DELAY_AFTER_ANSWER};
 use crate::core::{
     CallbackEvent, ConnectionState, OutputKind, RequestKind, UpstreamEvent, UpstreamId, clock,
 };
 use roselock::{AttemptUpdate, LoadReport, Micros, Outcome};
 
 impl Core {
-    /// Handles an event of an upstream request, and the state of its connection after that.
+    /// Handles an event of an upstream request, and the state of its connection after the event.
     pub(super) fn handle_upstream_event(
         &mut self,
         id: UpstreamId,
@@ -38,7 +38,7 @@
         self.upstreams.remove_if_done(id);
     }
 
-    /// Withdraws an attempt that was abandoned while its host's acceptance was on the way: the host need not go on.
+    /// Withdraws an attempt that its host accepted while it was being abandoned, so that the host stops running it.
     fn withdraw_abandoned(&mut self, id: UpstreamId, event: &UpstreamEvent) {
         let Some(abandoned) = self.upstreams.abandoned.remove(&id) else { return };
         if matches!(event, UpstreamEvent::Accepted) {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Learns from the reuse of a connection that had been idle for so long.
+    /// Updates the idle timeout estimate with the result of reusing a connection that had been idle for `idle`.
     fn record_reuse(&mut self, host: HostId, idle: Micros, event: &UpstreamEvent) {
         let idle_timeout = &mut self.fleets[host.fleet].idle_timeout;
         match event {
             UpstreamEvent::Ended { outcome: Outcome::Reset, .. } | UpstreamEvent::ConnectionLost => {
-                idle_timeout.record_break(idle, clock::now());
+                idle_timeout.record_failure(idle, clock::now());
             }
             UpstreamEvent::Accepted | UpstreamEvent::Ended { .. } | UpstreamEvent::HealthChecked { .. } => {
                 idle_timeout.record_success(idle, clock::now());
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells the dial limiter of a host that it has accepted a new connection, if this event shows that.
+    /// Records in the dial limiter of a host that it has accepted a new connection, if the event implies that.
     fn record_dial_accepted(&mut self, host: HostId, event: &UpstreamEvent) {
         let is_accepted = matches!(
             event,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Releases the connection of a request that has closed or become free. A free one returns to the pool of its host.
+    /// Releases the connection of a request if it has closed or become free. A free one returns to the pool of its
+    /// host.
     fn update_connection(&mut self, id: UpstreamId, event: &UpstreamEvent, state: ConnectionState) {
         if state == ConnectionState::Busy {
             return;
@@ -85,12 +86,12 @@
             return;
         }
         let Some(host) = self.fleets.host_mut(request.host).filter(|host| host.is_ready()) else { return };
-        // A second 202 would end nothing.
-        let rest = if matches!(event, UpstreamEvent::Accepted) { 0 } else { REST_AFTER_ANSWER };
-        host.pool.put(connection, clock::now(), rest);
+        // A duplicate of the 202 response would not end an attempt, so no reuse delay is needed after it.
+        let reuse_delay = if matches!(event, UpstreamEvent::Accepted) { 0 } else { REUSE_DELAY_AFTER_ANSWER };
+        host.pool.put(connection, clock::now(), reuse_delay);
     }
 
-    /// Applies an event to the attempt, health check or withdrawal that it is of.
+    /// Applies an event to its attempt, health check or withdrawal.
     fn apply_upstream_event(&mut self, id: UpstreamId, host: HostId, event: UpstreamEvent, was_reused: bool) {
         match event {
             UpstreamEvent::Accepted => self.mark_accepted(id),
@@ -101,7 +102,7 @@
                 self.report_progress(id, AttemptUpdate::Started);
             }
             UpstreamEvent::Progress(share) => self.report_progress(id, AttemptUpdate::Progress(share)),
-            UpstreamEvent::Output { kind, bytes } => self.pass_output(id, kind, &bytes),
+            UpstreamEvent::Output { kind, bytes } => self.forward_output(id, kind, &bytes),
             UpstreamEvent::Ended { outcome, report, body } => {
                 if outcome == Outcome::Reset {
                     self.mark_late_report_possible(id);
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A host has accepted an attempt: one that was cancelled meanwhile is withdrawn.
+    /// Records that a host has accepted an attempt, and withdraws the attempt if it has been cancelled in the meantime.
     fn mark_accepted(&mut self, id: UpstreamId) {
         let Some(request) = self.upstreams.get_mut(id) else { return };
         request.accepted = true;
@@ -127,19 +128,20 @@
         }
     }
 
-    fn pass_output(&self, id: UpstreamId, kind: OutputKind, bytes: &[u8]) {
+    fn forward_output(&self, id: UpstreamId, kind: OutputKind, bytes: &[u8]) {
         let Some(request) = self.upstreams.open_attempt(id) else { return };
         if let Some(stream) = self.streams.get(request.stream) {
             stream.downstream.output(kind, bytes);
         }
     }
 
-    /// The connection of a control request was lost before the answer.
+    /// Handles the loss of a control request's connection before the answer.
     fn handle_control_lost(&mut self, id: UpstreamId, host: HostId, was_reused: bool) {
         let Some(request) = self.upstreams.get_mut(id) else { return };
-        let Some(kind) = request.control.take() else { return };
+        let Some(kind) = request.control_kind.take() else { return };
         if was_reused {
-            // The loss of a pooled connection says nothing about the host: again, on a new one.
+            // A pooled connection may have been closed for being idle, so its loss does not indicate a failure of the
+            // host. Retries on a new connection.
             let withdraws = request.withdraws.take();
             self.send_control(host, kind, None, withdraws);
         } else if matches!(kind, RequestKind::HealthCheck) {
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Handles a callback of a host for a stream. One from a previous incarnation, for another stream or for an attempt
-    /// that has ended is ignored.
+    /// Handles a callback of a host for a stream. Ignores callbacks from another host or a previous incarnation, for
+    /// unknown streams, and for attempts that have ended.
     pub(super) fn handle_callback(
         &mut self,
         job_id: &str,
@@ -165,8 +167,8 @@
         event: CallbackEvent,
         report: LoadReport,
     ) {
-        let Some(id) = self.streams.with_job_id(job_id).and_then(|stream| stream.in_flight) else {
-            tracing::debug!(id = job_id, from, "callback for no attempt in flight");
+        let Some(id) = self.streams.get_by_job_id(job_id).and_then(|stream| stream.in_flight) else {
+            tracing::debug!(id = job_id, from, "ignoring a callback: no attempt is in flight");
             return;
         };
         let Some(request) = self.upstreams.get(id) else { return };
@@ -177,7 +179,7 @@
             CallbackEvent::Started => self.report_progress(id, AttemptUpdate::Started),
             CallbackEvent::Progress(share) => self.report_progress(id, AttemptUpdate::Progress(share)),
             CallbackEvent::Ended(outcome, body) => {
-                // The host repeats the callback until it has our answer: it may arrive once more.
+                // The host repeats the callback until it receives a response, so it may arrive again.
                 self.mark_late_report_possible(id);
                 self.end_attempt(id, outcome, report, body);
             }
--- a/dispatcher/src/core/event_loop/upstream_requests.rs
+++ b/dispatcher/src/core/event_loop/upstream_requests.rs
@@ -1,4 +1,4 @@
-//! The upstream requests that have not ended, and their numbering.
+//! The table of upstream requests that have not ended, and the assignment of their numbers.
 
 use super::fleets::HostId;
 use crate::core::{Payload, RequestKind, StreamId, UpstreamConnection, UpstreamId};
@@ -6,35 +6,35 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// An upstream request that waits to be sent, is in flight, or whose connection has not been released.
+/// An upstream request that is waiting to be sent, is in flight, or has not released its connection.
 pub(super) struct PendingRequest {
     pub(super) host: HostId,
-    /// The stream of an attempt; of a control request 0.
+    /// The stream of an attempt; 0 for a control request.
     pub(super) stream: StreamId,
-    /// The number of an attempt, from 0 for each stream; of a control request 0.
+    /// The number of the attempt within its stream, from 0; 0 for a control request.
     pub(super) attempt: u32,
-    /// When an attempt was sent.
+    /// When the attempt was sent; 0 for a control request.
     pub(super) sent_at: Micros,
-    /// The connection that it is on.
+    /// The connection that carries it.
     pub(super) connection: Option<Arc<dyn UpstreamConnection>>,
-    /// How long its connection had been idle, if it is a pooled one.
+    /// How long its connection had been idle, if it was a pooled one.
     pub(super) reused_idle: Option<Micros>,
     /// What it asks for, if it is a control request.
-    pub(super) control: Option<RequestKind>,
-    /// The host has accepted it.
+    pub(super) control_kind: Option<RequestKind>,
+    /// Whether the host has accepted it.
     pub(super) accepted: bool,
-    /// The end of the attempt has been reported to the decisions; a control request has none to report.
+    /// Whether the end of the attempt has been reported to the decision logic; always true for a control request.
     pub(super) concluded: bool,
-    /// The attempt is cancelled while its stream goes on.
+    /// Whether the attempt is cancelled while its stream continues.
     pub(super) withdrawal_requested: bool,
-    /// The attempt that this withdraws.
+    /// For a withdrawal, the attempt that ends with it, if any.
     pub(super) withdraws: Option<UpstreamId>,
-    /// It waits in the dial queue of its host: nothing of it has been sent.
+    /// Whether it is in the dial queue of its host; nothing of it has been sent then.
     pub(super) in_dial_queue: bool,
 }
 
 impl PendingRequest {
-    /// An attempt of a stream.
+    /// Creates an attempt of a stream.
     pub(super) fn attempt(host: HostId, stream: StreamId, attempt: u32, sent_at: Micros) -> PendingRequest {
         PendingRequest {
             host,
@@ -43,7 +43,7 @@
             sent_at,
             connection: None,
             reused_idle: None,
-            control: None,
+            control_kind: None,
             accepted: false,
             concluded: false,
             withdrawal_requested: false,
@@ -51,10 +51,10 @@
             in_dial_queue: false,
         }
     }
-    /// A control request; a withdrawal may end an attempt.
+    /// Creates a control request. `withdraws` is the attempt that ends with a withdrawal, if any.
     pub(super) fn control(host: HostId, kind: RequestKind, withdraws: Option<UpstreamId>) -> PendingRequest {
         PendingRequest {
-            control: Some(kind),
+            control_kind: Some(kind),
             accepted: true,
             concluded: true,
             withdraws,
@@ -65,7 +65,7 @@
         self.connection.as_ref().is_some_and(|connection| connection.is_inbound())
     }
     pub(super) fn is_preconnect(&self) -> bool {
-        matches!(self.control, Some(RequestKind::Preconnect))
+        matches!(self.control_kind, Some(RequestKind::Preconnect))
     }
 }
 
@@ -80,8 +80,8 @@
 pub(super) struct UpstreamRequests {
     pub(super) by_id: HashMap<UpstreamId, PendingRequest>,
     next_id: UpstreamId,
-    /// Attempts that were abandoned before their hosts had accepted them, until their connections report what became of
-    /// them.
+    /// Attempts that were abandoned before their hosts had accepted them, until their connections report the next
+    /// event.
     pub(super) abandoned: HashMap<UpstreamId, AbandonedAttempt>,
 }
 
@@ -102,15 +102,15 @@
     pub(super) fn get_mut(&mut self, id: UpstreamId) -> Option<&mut PendingRequest> {
         self.by_id.get_mut(&id)
     }
-    /// An attempt whose end has not been reported to the decisions.
+    /// An attempt whose end has not been reported to the decision logic.
     pub(super) fn open_attempt(&self, id: UpstreamId) -> Option<&PendingRequest> {
         self.by_id.get(&id).filter(|request| !request.concluded)
     }
-    /// The same, to change it.
+    /// Like [`UpstreamRequests::open_attempt`], but mutable.
     pub(super) fn open_attempt_mut(&mut self, id: UpstreamId) -> Option<&mut PendingRequest> {
         self.by_id.get_mut(&id).filter(|request| !request.concluded)
     }
-    /// The open attempts that no host has accepted and for which the condition holds.
+    /// The open attempts that their hosts have not accepted and that meet the condition.
     pub(super) fn unaccepted_attempts(&self, condition: impl Fn(&PendingRequest) -> bool) -> Vec<UpstreamId> {
         let mut ids = Vec::new();
         for (id, request) in &self.by_id {
--- a/dispatcher/src/core/suspensions.rs
+++ b/dispatcher/src/core/suspensions.rs
@@ -1,8 +1,8 @@
-//! Workers that staff has suspended: the admin address changes the set, and the owner thread passes the changes on to the
-//! decisions.
+//! Workers that operators have suspended. Requests to the admin address change the set, and the event loop passes the
+//! changes on to the decision logic.
 //!
-//! The admin side never waits for the owner: it changes the set here and increments a generation, which the owner compares
-//! in each iteration of its loop. The locks are held only briefly, and no stream needs one.
+//! The admin code never waits for the event loop: it changes the set and increments a generation number, which the
+//! event loop checks in each iteration. The locks are held only briefly, and no stream needs one.
 
 use parking_lot::{Condvar, Mutex};
 use roselock::WorkerId;
@@ -11,28 +11,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Most ids that are remembered as listed, and most suspended workers.
+/// Maximum number of ids that are remembered as listed, and of suspended workers.
 pub const MAX_SUSPENDED: usize = roselock_admin::suspension_file::MAX_WORKERS;
 
-/// The suspended workers, and how far the owner has applied the changes.
+/// The suspended workers, and which of the changes have been applied by the event loop and saved to the file.
 #[derive(Default)]
 pub struct Suspensions {
     workers: Mutex<SuspendedWorkers>,
-    /// The number of the latest change in this process.
+    /// The generation of the latest change in this process.
     generation: AtomicU64,
-    /// The number of the latest change that the owner has applied.
+    /// The generation of the latest change that the event loop has applied.
     applied: AtomicU64,
-    /// The sequence number, common to both processes of an upgrade, of the latest change that the file holds.
+    /// The sequence number of the latest change in the file. Sequence numbers are common to both processes of an
+    /// upgrade.
     saved: AtomicU64,
     /// Why the file could not be written, if the latest write failed.
     save_failure: Mutex<Option<String>>,
     /// Wakes the thread that writes the file.
     changed: Condvar,
-    /// Ids that the endpoint list has named in this process, or in its predecessor in an upgrade.
+    /// Ids that have been in the endpoint list of this process, or of its predecessor in an upgrade.
     listed: Mutex<HashSet<String>>,
 }
 
-/// The suspended workers, with the sequence number of the latest change: between processes the greater number wins.
+/// The suspended workers, with the sequence number of the latest change. Between processes the set with the greater
+/// number takes precedence.
 #[derive(Clone, Default, Debug, PartialEq, Eq)]
 pub struct SuspendedWorkers {
     /// Their ids.
@@ -44,33 +46,34 @@
 /// The result of [`Suspensions::set`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum SetResult {
-    /// The set has changed: the owner has applied the change once [`Suspensions::applied`] reaches this number.
+    /// The set has changed. The event loop has applied the change once [`Suspensions::applied`] reaches this
+    /// generation.
     Changed(u64),
-    /// The worker was in that state before.
+    /// The worker was already in the requested state.
     Unchanged,
 }
 
-/// A change of the set, for the owner.
+/// A change of the set, for the event loop.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SuspensionChange {
-    /// The number of the latest change.
+    /// The generation of the latest change.
     pub generation: u64,
     /// All suspended workers.
     pub suspended: BTreeSet<WorkerId>,
 }
 
-/// Why a worker cannot be suspended or restored. The admin address answers with these texts.
+/// Why a worker cannot be suspended or restored. The texts are sent in replies of the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SuspensionError {
-    /// The endpoint list has never named it.
+    /// The worker has never been in the endpoint list.
     #[error("never listed")]
     NeverListed,
-    /// [`MAX_SUSPENDED`] workers are suspended.
+    /// [`MAX_SUSPENDED`] workers are already suspended.
     #[error("too many workers out by hand")]
     TooMany,
 }
 
-/// Why the file does not hold all changes. The admin address answers with these texts.
+/// Why the file does not hold all changes. The texts are sent in replies of the admin address.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnsavedError {
     /// The file has not been written since the latest change.
@@ -86,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// If the endpoint list has never named the worker, or too many workers are suspended.
+    /// If the worker has never been in the endpoint list, or if too many workers are suspended.
     pub fn set(&self, id: &str, suspended: bool) -> Result<SetResult, SuspensionError> {
         if !self.listed.lock().contains(id) {
             return Err(SuspensionError::NeverListed);
@@ -104,13 +107,13 @@
         let previous_generation = self.generation.fetch_add(1, Ordering::SeqCst);
         Ok(SetResult::Changed(previous_generation + 1))
     }
-    /// Adopts what another process wrote, if it is newer. Returns whether that changed the set.
+    /// Adopts the set that another process has written, if it is newer. Returns whether that changed the set.
     pub fn adopt(&self, other: SuspendedWorkers) -> bool {
         let mut workers = self.workers.lock();
         if other.sequence <= workers.sequence {
             return false;
         }
-        self.note_listed(other.ids.iter().map(String::as_str));
+        self.record_listed(other.ids.iter().map(String::as_str));
         let changed = other.ids != workers.ids;
         *workers = other;
         if changed {
@@ -122,8 +125,8 @@
     pub fn workers(&self) -> SuspendedWorkers {
         self.workers.lock().clone()
     }
-    /// Notes ids that the list names, up to [`MAX_SUSPENDED`].
-    pub fn note_listed<'a>(&self, ids: impl Iterator<Item = &'a str>) {
+    /// Records ids from the endpoint list, up to [`MAX_SUSPENDED`].
+    pub fn record_listed<'a>(&self, ids: impl Iterator<Item = &'a str>) {
         let mut listed = self.listed.lock();
         for id in ids {
             if listed.len() >= MAX_SUSPENDED {
@@ -134,30 +137,31 @@
             }
         }
     }
-    /// The number of the latest change.
+    /// The generation of the latest change.
     pub fn generation(&self) -> u64 {
         self.generation.load(Ordering::SeqCst)
     }
-    /// The number of the latest change that the owner has applied.
+    /// The generation of the latest change that the event loop has applied.
     pub fn applied(&self) -> u64 {
         self.applied.load(Ordering::SeqCst)
     }
-    /// Blocks the thread until there is a change after sequence number `written`, at most so long; returns the set.
+    /// Blocks the thread until there is a change after sequence number `written`, at most for `timeout`. Returns the
+    /// set.
     pub fn wait_for_change(&self, written: u64, timeout: Duration) -> SuspendedWorkers {
         let mut workers = self.workers.lock();
         self.changed.wait_while_for(&mut workers, |workers| workers.sequence <= written, timeout);
         workers.clone()
     }
-    /// Notes that the file holds the changes up to this sequence number.
+    /// Records that the file holds the changes up to this sequence number.
     pub fn mark_saved(&self, sequence: u64) {
         *self.save_failure.lock() = None;
         self.saved.fetch_max(sequence, Ordering::SeqCst);
     }
-    /// Notes why the file could not be written.
+    /// Records why the file could not be written.
     pub fn note_unsaved(&self, reason: String) {
         *self.save_failure.lock() = Some(reason);
     }
-    /// Whether the file holds all changes.
+    /// Checks that the file holds all changes.
     ///
     /// # Errors
     ///
@@ -172,7 +176,7 @@
             None => Err(UnsavedError::NotWritten),
         }
     }
-    /// For the owner: the suspended workers, if there was a change after generation `seen`.
+    /// For the event loop: the suspended workers, if there was a change after generation `seen`.
     pub fn changed_since(&self, seen: u64) -> Option<SuspensionChange> {
         let generation = self.generation();
         if generation == seen {
@@ -181,7 +185,7 @@
         let suspended = self.workers.lock().ids.iter().map(|id| WorkerId(fnv(id.as_bytes()))).collect();
         Some(SuspensionChange { generation, suspended })
     }
-    /// Notes that the owner has passed this change on to the decisions.
+    /// Records that the event loop has passed the changes up to this generation on to the decision logic.
     pub fn mark_applied(&self, generation: u64) {
         self.applied.fetch_max(generation, Ordering::SeqCst);
     }
