--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -1,6 +1,7 @@
-//! The admin address: one command a line, one line a response (`METRICS`: the figures, then a line `.`).
-//! Responses come from shared figures and never wait for client traffic or the owner thread's queue; a change
-//! waits for the owner thread at most [`CHANGE_TIMEOUT`].
+//! The admin protocol: each command is one line and so is each response, except that `METRICS` returns
+//! several lines, terminated by a line `.`. Responses are built from shared state, so they never wait for
+//! client traffic or for the owner thread's queue. Only `SUSPEND` and `RESTORE` wait for the owner thread,
+//! for at most [`CHANGE_TIMEOUT`].
 
 use super::connection_limiter::{ConnectionLimiter, ShedPriority, SheddableConnection};
 use super::http::deadline_after;
@@ -14,37 +15,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most admin connections; beyond that, the oldest without a complete command is shed first. Their
-/// descriptors come out of the process's reserve.
+/// Maximum number of admin connections. Above it, the oldest connection without a complete command is closed
+/// first. Their file descriptors are taken from the process's reserve.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a command may take to be complete, from the start of the connection or its first byte, in
-/// microseconds.
+/// Time limit for receiving a complete command, from the start of the connection or the command's first byte.
 const COMMAND_TIMEOUT: Micros = 2 * SECOND;
-/// How long a connection may be idle between commands, in microseconds.
+/// Maximum idle time between commands.
 const IDLE_TIMEOUT: Micros = 10 * SECOND;
-/// How long writing a response may take, in microseconds.
+/// Time limit for writing a response.
 const WRITE_TIMEOUT: Micros = SECOND;
-/// A change is answered once the owner thread has applied it and the file holds it, or after this time in
-/// microseconds: it takes effect all the same.
+/// Time limit for a change: the response is sent once the owner thread has applied the change and the file
+/// contains it, or after this time. The change takes effect in either case.
 const CHANGE_TIMEOUT: Micros = SECOND / 2;
-/// How often that is polled.
+/// Interval at which the state of a change is polled.
 const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Bytes that are read at once.
+/// Size of the read buffer in bytes.
 const READ_SIZE: usize = 512;
 
-/// What the admin address shows and changes.
+/// The state that the admin address reads and changes.
 pub struct Admin {
-    /// The figures of `METRICS`.
+    /// The metrics that `METRICS` reports.
     pub metrics: Arc<Metrics>,
     /// Workers that operators have suspended.
     pub suspensions: Arc<Suspensions>,
-    /// Tells whether the process can serve, and wakes the owner thread.
+    /// Reports whether the process is ready, and wakes the owner thread.
     pub inbox: Inbox,
-    /// The connections.
+    /// The admin connections.
     pub connections: Arc<ConnectionLimiter>,
 }
 
-/// Accepts admin connections for ever.
+/// Accepts admin connections; never returns.
 pub fn accept(admin: Arc<Admin>, listener: &TcpListener) {
     let connections = admin.connections.clone();
     connections.accept(listener, || true, move |stream, _| serve(&admin, stream));
@@ -56,7 +56,7 @@
     socket: Socket,
     lines: LineReader,
     sheddable: SheddableConnection,
-    /// When the next command must be complete.
+    /// When the next command must have been received completely.
     deadline: Micros,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl<'a> Connection<'a> {
-    /// Answers all complete lines; none if the connection ended.
+    /// Responds to all complete lines. Returns `None` if the connection ended.
     fn answer_lines(mut self) -> Option<Connection<'a>> {
         loop {
             let response = match self.lines.next_line() {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads once; none if the connection ended.
+    /// Reads once. Returns `None` if the connection ended.
     fn read(mut self) -> Option<Connection<'a>> {
         let is_mid_command = self.lines.has_partial_line();
         let mut buffer = [0; READ_SIZE];
@@ -104,17 +104,17 @@
     }
 }
 
-/// The response to one line, with its end.
+/// The response to one line, including the line terminator.
 fn response_to(admin: &Admin, line: &[u8]) -> String {
     let command = match command::parse(line) {
         Ok(command) => command,
         Err(error) => return error_response(&error),
     };
     match command {
-        Command::Status => status(admin),
+        Command::Status => status_response(admin),
         Command::Metrics => format!("{}\n.\n", admin.metrics.render()),
-        Command::Suspend(id) => change(admin, id, Change::Suspend),
-        Command::Restore(id) => change(admin, id, Change::Restore),
+        Command::Suspend(id) => apply_change(admin, id, Change::Suspend),
+        Command::Restore(id) => apply_change(admin, id, Change::Restore),
     }
 }
 
@@ -122,7 +122,7 @@
     format!("{}\n", error.response())
 }
 
-fn status(admin: &Admin) -> String {
+fn status_response(admin: &Admin) -> String {
     if admin.inbox.shutdown_requested_at().is_some() {
         return "-ERR not ready: stopping\n".to_owned();
     }
@@ -134,25 +134,25 @@
     }
 }
 
-/// A change of a worker by operators.
+/// A change to a worker that an operator requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Change {
-    /// Suspend it.
+    /// Takes the worker out of service.
     Suspend,
-    /// Restore it.
+    /// Puts the worker back into service.
     Restore,
 }
 
 impl Change {
-    /// How a response calls a change that was made.
-    fn made(self) -> &'static str {
+    /// The word in the response for a change that was made.
+    fn changed_reply(self) -> &'static str {
         match self {
             Change::Suspend => "out",
             Change::Restore => "back",
         }
     }
-    /// How a response calls a change that had been made before.
-    fn made_before(self) -> &'static str {
+    /// The words in the response if the worker was already in the requested state.
+    fn unchanged_reply(self) -> &'static str {
         match self {
             Change::Suspend => "was out",
             Change::Restore => "was not out",
@@ -160,22 +160,22 @@
     }
 }
 
-fn change(admin: &Admin, id: &str, change: Change) -> String {
+fn apply_change(admin: &Admin, id: &str, change: Change) -> String {
     let result = match admin.suspensions.set(id, change == Change::Suspend) {
         Err(error) => return format!("-ERR {id}: {error}\n"),
         Ok(result) => result,
     };
     admin.inbox.wake();
-    // Success means that the change survives an upgrade, so the file must hold it. Without that the change is
-    // in force in this process, and is written later.
+    // Success means that the change survives an upgrade, so the file must contain it. If saving fails, the
+    // change is still in effect in this process, and the file is written later.
     match (wait_for_change(admin, &result), result) {
-        (Err(error), _) => format!("-ERR {id} {}, but not saved yet: {error}\n", change.made()),
-        (Ok(()), SetResult::Unchanged) => format!("+OK {id} {}\n", change.made_before()),
-        (Ok(()), SetResult::Changed(_)) => format!("+OK {id} {}\n", change.made()),
+        (Err(error), _) => format!("-ERR {id} {}, but not saved yet: {error}\n", change.changed_reply()),
+        (Ok(()), SetResult::Unchanged) => format!("+OK {id} {}\n", change.unchanged_reply()),
+        (Ok(()), SetResult::Changed(_)) => format!("+OK {id} {}\n", change.changed_reply()),
     }
 }
 
-/// Waits until a change is applied and saved, or [`CHANGE_TIMEOUT`] has passed; whether it is saved.
+/// Waits until a change is applied and saved, or [`CHANGE_TIMEOUT`] has passed. Fails if it is not saved.
 fn wait_for_change(admin: &Admin, result: &SetResult) -> Result<(), UnsavedError> {
     let sequence = match *result {
         SetResult::Changed(sequence) => sequence,
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -1,4 +1,4 @@
-//! Callbacks, in which upstream hosts report the progress and end of a stream.
+//! Callbacks: requests in which upstream hosts report the progress and end of a stream.
 
 use crate::core::{CallbackEvent, Inbox, Input};
 use roselock::Outcome;
@@ -26,8 +26,8 @@
     load: Option<WorkerReport>,
 }
 
-/// What a callback reports; none if its state is unknown.
-fn event_of(state: &str, share: f64, result: Option<String>) -> Option<CallbackEvent> {
+/// The event that a callback reports; `None` if its state is unknown.
+fn callback_event(state: &str, share: f64, result: Option<String>) -> Option<CallbackEvent> {
     let event = match state {
         "started" => CallbackEvent::Started,
         "running" => CallbackEvent::Progress(share),
@@ -40,11 +40,11 @@
     Some(event)
 }
 
-/// Posts a callback to the owner thread, with its body if the other process of an upgrade may have its stream
-/// (`may_forward`). False if it is invalid.
+/// Posts a callback to the owner thread; returns false if the callback is invalid. The body is included if
+/// `may_forward` is set: during an upgrade, the other process may hold the stream.
 pub fn post(body: &[u8], site: &Site, inbox: &Inbox, may_forward: bool) -> bool {
     let Ok(callback) = serde_json::from_slice::<Callback>(body) else { return false };
-    let Some(event) = event_of(&callback.state, callback.share, callback.result) else { return false };
+    let Some(event) = callback_event(&callback.state, callback.share, callback.result) else { return false };
     let report = callback.load.map(|load| site.load_report(&load)).unwrap_or_default();
     inbox.post(Input::Callback {
         id: callback.id.into_owned(),
--- a/dispatcher/src/wire/connection_limiter.rs
+++ b/dispatcher/src/wire/connection_limiter.rs
@@ -1,4 +1,5 @@
-//! The connections that a listener accepts: how many there may be, and which of them are shed beyond that.
+//! Limits the connections that a listener accepts, and selects the ones that are shed (closed to make room)
+//! above the limit.
 
 use super::socket::Socket;
 use may::net::{TcpListener, TcpStream};
@@ -10,36 +11,37 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How long a connection may take from its start to its first complete message, in microseconds: more than
-/// the 2 s over which slow clients write, less than the 3 s within which a client that stops sending is owed
-/// an error or a close, with a margin on both sides. A client that has sent nothing, or part of a message,
-/// gets an error or a close after it.
+/// Time limit from the start of a connection to its first complete message. A client that has sent nothing or
+/// only a part of a message by then gets an error or a close. The limit lies between the 2 s that slow
+/// clients take to write a request and the 3 s within which a client that stops sending must get an error or
+/// a close, with a margin on both sides.
 pub const FIRST_REQUEST_TIMEOUT: Micros = SECOND * 27 / 10;
-/// How long a further message may take to arrive, from its first byte, in microseconds.
+/// Time limit for receiving each later message, from its first byte.
 pub const REQUEST_READ_TIMEOUT: Micros = SECOND * 27 / 10;
-/// Connections beyond the limit that are accepted while others are being shed.
+/// Maximum number of connections above the limit that are accepted while others are being shed.
 const MAX_EXCESS_CONNECTIONS: usize = 8;
-/// How often the number of connections is polled while it is above that.
+/// Interval at which the number of connections is polled while it is above that maximum.
 const SHED_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Polls in which only unidentified or closing connections are shed; after them, idle ones are shed too.
+/// Number of polls in which only unidentified and closing connections are shed. After that, idle connections
+/// are shed as well.
 const POLLS_BEFORE_IDLE_SHED: u32 = 4;
-/// Most bytes that are read and discarded before a connection is shed.
+/// Maximum number of bytes that are read and discarded before a connection is shed.
 const MAX_DISCARDED_BYTES: usize = 64 << 10;
-/// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(2);
+/// Delay before accepting again after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Which connections are shed first; among equals the oldest.
+/// The order in which connections are shed: lowest value first, and the oldest first among equals.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedPriority {
-    /// Its last message has been sent: it is closing.
+    /// The last response has been sent and the connection is closing.
     Closing,
-    /// It has not sent a valid message yet.
+    /// The client has not sent a valid message yet.
     Unidentified,
-    /// It is between requests.
+    /// The connection is between requests.
     Idle,
 }
 
-/// The place of a sheddable connection in the order of shedding.
+/// The sort key of a sheddable connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ShedKey {
     priority: ShedPriority,
@@ -48,7 +50,7 @@
 
 /// The connections of a listener.
 pub struct ConnectionLimiter {
-    /// Most connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
     open: AtomicUsize,
     sheddable: Mutex<BTreeMap<ShedKey, Socket>>,
@@ -56,7 +58,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter without connections.
+    /// Creates a limiter without connections.
     pub fn new(max_connections: usize) -> Arc<ConnectionLimiter> {
         Arc::new(ConnectionLimiter {
             max_connections,
@@ -66,7 +68,7 @@
         })
     }
 
-    /// Marks a connection as sheddable until the result is dropped.
+    /// Marks a connection as sheddable until the returned guard is dropped.
     pub fn mark_sheddable(
         self: &Arc<ConnectionLimiter>,
         priority: ShedPriority,
@@ -83,8 +85,8 @@
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Shuts down the writing direction of all sheddable connections. Requests that arrive on them from now
-    /// on are not accepted.
+    /// Shuts down the write side of all sheddable connections. Requests that arrive on them later are not
+    /// accepted.
     pub fn finish_writes(&self) {
         let sheddable = std::mem::take(&mut *self.sheddable.lock());
         for socket in sheddable.values() {
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Accepts connections as long as `may_accept` holds, which is checked before each one. Each is served by
-    /// a coroutine of its own.
+    /// Accepts connections while `may_accept` returns true; it is checked before each accept. Each connection
+    /// is served by its own coroutine.
     pub fn accept<G, S>(self: &Arc<ConnectionLimiter>, listener: &TcpListener, may_accept: G, serve: S)
     where
         G: Fn() -> bool,
@@ -101,8 +103,8 @@
     {
         while may_accept() {
             let Ok((stream, peer)) = listener.accept() else {
-                // Out of descriptors for a moment.
-                may::coroutine::sleep(ACCEPT_RETRY_PAUSE);
+                // Typically a temporary lack of file descriptors.
+                may::coroutine::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             };
             let open_before = self.open.fetch_add(1, Ordering::SeqCst);
@@ -112,7 +114,7 @@
                 serve(stream, peer);
                 limiter.open.fetch_sub(1, Ordering::SeqCst);
             });
-            // It may read what has arrived with it before the next one is accepted.
+            // Lets the coroutine read what has already arrived before the next connection is accepted.
             may::coroutine::yield_now();
             if open_before >= self.max_connections {
                 self.shed_one();
@@ -120,23 +122,25 @@
         }
     }
 
-    /// Sheds one connection for one that was accepted. A shed connection ends on an event of its socket,
-    /// which the runtime polls for when nothing else runs, and counts as open until then. Others may soon
-    /// turn out to be unidentified, so connections between requests are shed a little later.
+    /// Sheds one connection to make room for one that was accepted. The coroutine of a shed connection ends
+    /// on a socket event, and the connection counts as open until then; the runtime polls for socket events
+    /// only when no coroutine is runnable. Idle connections are shed only after a few polls, because another
+    /// connection may turn out to be unidentified in the meantime.
     fn shed_one(&self) {
-        let mut must_shed = !self.shed(ShedPriority::Unidentified);
+        let mut must_shed = !self.shed_first(ShedPriority::Unidentified);
         let mut polls = 0;
         while self.open() >= self.max_connections + MAX_EXCESS_CONNECTIONS {
             may::coroutine::sleep(SHED_POLL_INTERVAL);
             polls += 1;
             let last_priority =
                 if polls < POLLS_BEFORE_IDLE_SHED { ShedPriority::Unidentified } else { ShedPriority::Idle };
-            must_shed = must_shed && !self.shed(last_priority);
+            must_shed = must_shed && !self.shed_first(last_priority);
         }
     }
 
-    /// Closes the first sheddable connection with a priority up to this one; false if there is none.
-    fn shed(&self, last_priority: ShedPriority) -> bool {
+    /// Closes the first sheddable connection whose priority is at most `last_priority`. Returns false if
+    /// there is none.
+    fn shed_first(&self, last_priority: ShedPriority) -> bool {
         let Some(socket) = self.take_first(last_priority) else { return false };
         socket.shut_down_writes();
         socket.discard_received(MAX_DISCARDED_BYTES);
@@ -151,15 +155,15 @@
     }
 }
 
-/// A connection that may be shed until this is dropped.
+/// Guard of a sheddable connection, which may be shed until the guard is dropped.
 pub struct SheddableConnection {
     limiter: Arc<ConnectionLimiter>,
     key: ShedKey,
 }
 
 impl SheddableConnection {
-    /// Protects the connection from being shed. False if it has been shed: what it sent is not accepted, and
-    /// may be sent again.
+    /// Makes the connection no longer sheddable. Returns false if it has already been shed: what the client
+    /// sent is then not accepted, and the client may send it again.
     #[must_use]
     pub fn reclaim(self) -> bool {
         self.remove()
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery client: polls the endpoint list of upstream hosts and watches its changes.
+//! The discovery client: fetches the endpoint list of upstream hosts and watches for changes to it.
 
 mod handle;
 mod stream;
@@ -20,61 +20,62 @@
 use std::time::Duration;
 use watch_error::WatchError;
 
-/// The pause between watches where lists are pushed: the service is this machine's agent, so it needs no backoff.
-const PUSH_RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Longest chunk of a watch, and the longest full list, in bytes: 3,200 workers with 1,300 bytes each.
+/// Delay between watches when lists are pushed. The service is then an agent on this machine, so no backoff
+/// is needed.
+const PUSH_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Maximum size in bytes of a chunk of a watch and of a full list: 3,200 workers with 1,300 bytes each.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// What a [`DiscoveryWatcher`] is made of.
+/// The parameters of a [`DiscoveryWatcher`].
 pub struct WatcherParameters {
-    /// Where discovery is.
+    /// The address of discovery, which may change.
     pub handle: DiscoveryHandle,
-    /// The revision of the cached list, from which on changes are watched.
+    /// The revision of the cached list; changes after it are watched.
     pub cached_revision: u64,
-    /// Zones and kinds that lists name get ids of their own in this copy.
+    /// This copy of the settings assigns ids to the zones and kinds that lists name.
     pub site: Site,
-    /// The way to the decisions.
+    /// The inbox of the owner thread.
     pub inbox: Inbox,
-    /// Whose hosts are listed.
+    /// The fleet whose hosts are listed.
     pub fleet: FleetId,
     /// Counts malformed lists.
     pub metrics: Arc<Metrics>,
-    /// How long after a move of discovery the full list is polled at the earliest.
+    /// Minimum time between a move of discovery and fetching the full list.
     pub resync_after: Micros,
 }
 
-/// Keeps the watch on the endpoint list, and hands lists to the decisions.
+/// Watches the endpoint list, and passes lists to the owner thread.
 pub struct DiscoveryWatcher {
     handle: DiscoveryHandle,
-    /// The latest revision; none where the full list has to be polled.
+    /// The latest revision; `None` if the full list has to be fetched.
     revision: Option<u64>,
-    /// The latest complete list had no host, and no change since has added one.
+    /// Whether the latest complete list was empty, and no later change has added a host.
     is_list_empty: bool,
-    /// Watches in a row that ended with an empty list.
+    /// Number of consecutive watches that ended with an empty list.
     consecutive_empty_lists: u32,
     site: Site,
     inbox: Inbox,
     fleet: FleetId,
     metrics: Arc<Metrics>,
     resync_after: Micros,
-    /// When the full list is polled after a move, unless it comes by itself until then.
+    /// When the full list is fetched after a move, unless discovery sends it before.
     resync_at: Option<Micros>,
     progress: WatchProgress,
-    /// What the service at the present address has sent.
+    /// The lists that the service at the current address has sent.
     history: ListHistory,
 }
 
-/// How far the present watch has come.
+/// Progress of the current watch.
 #[derive(Clone, Copy, Debug, Default)]
 struct WatchProgress {
-    /// A connection came up.
+    /// Whether a connection was established.
     connected: bool,
-    /// When the latest event was received.
+    /// When the latest event was received, if any.
     last_event_at: Option<Micros>,
 }
 
 impl DiscoveryWatcher {
-    /// A watcher that has not polled yet.
+    /// Creates a watcher that starts at the revision of the cached list.
     pub fn new(parameters: WatcherParameters) -> DiscoveryWatcher {
         DiscoveryWatcher {
             handle: parameters.handle,
@@ -92,74 +93,77 @@
         }
     }
 
-    /// Records the cached list as what discovery sent last; its hosts.
+    /// Records the cached list as the last one that discovery sent, and returns its hosts.
     pub fn record_cached(&mut self, mut list: EndpointList) -> Vec<ListedHost> {
         self.history.record(&mut list);
         listed_hosts(&list, &mut self.site)
     }
 
-    /// Watches after each poll request, until the watch ends; where lists are pushed, all the time. When to poll again is
-    /// decided elsewhere; but after a move the watch continues at the new address at once.
+    /// Starts a watch after each poll request, or continuously if lists are pushed. The caller schedules the
+    /// poll requests; only after a move does the watch continue at the new address immediately.
     pub fn run(mut self, poll_requests: &Receiver<()>) {
         let mut generation = 0;
         while self.handle.always_watches() || poll_requests.recv().is_ok() {
             let end = self.watch_across_moves(poll_requests, &mut generation);
             self.inbox.post(Input::WatchEnded { fleet: self.fleet, end });
             if self.handle.always_watches() {
-                may::coroutine::sleep(PUSH_RECONNECT_PAUSE);
+                may::coroutine::sleep(PUSH_RECONNECT_DELAY);
             }
         }
     }
 
-    /// Watches until a watch ends for another reason than a move. `generation` is that of the latest watch.
+    /// Watches until a watch ends for a reason other than a move. `generation` is the one of the latest
+    /// watch.
     fn watch_across_moves(&mut self, poll_requests: &Receiver<()>, generation: &mut u64) -> WatchEnd {
         loop {
-            // One watch answers all requests until now.
-            discard_pending(poll_requests);
+            // One watch serves all requests received so far.
+            drain_poll_requests(poll_requests);
             let location = self.handle.location();
             if location.generation != *generation {
                 *generation = location.generation;
-                self.note_move(location.moved_at);
+                self.record_move(location.moved_at);
             }
             let end = self.watch_once(location);
-            // The watch has answered the requests that came while it was open. Discarded before the generation is
-            // compared: a later move sends a request of its own.
-            discard_pending(poll_requests);
+            // The watch has served the requests that were received while it was open. They are discarded
+            // before the generation is compared, because a later move sends its own request.
+            drain_poll_requests(poll_requests);
             if self.handle.location().generation == location.generation {
                 return end;
             }
         }
     }
 
-    /// Discovery is at another address. Only changes are watched there, which costs it little when all dispatchers move
-    /// at once. Its revisions may be others, so that changes say too little: the full list is polled later, by each
-    /// dispatcher at a time of its own.
-    fn note_move(&mut self, moved_at: Micros) {
+    /// Handles a move of discovery to another address. At first only changes are watched there, to keep the
+    /// load on the service low when all dispatchers move at once. The service may number its revisions
+    /// differently, so changes alone are not sufficient: the full list is fetched later, by each dispatcher
+    /// at a different time.
+    fn record_move(&mut self, moved_at: Micros) {
         self.inbox.post(Input::DiscoveryMoved { fleet: self.fleet, at: moved_at });
-        // Revisions of the former address cannot be compared with those of this one.
+        // Revisions of the former address are not comparable with those of the new one.
         self.history = ListHistory::default();
         let position = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
         let spread = (self.resync_after as f64 * position) as Micros;
         self.resync_at = Some(deadline_after(self.resync_after + spread));
     }
 
-    /// One watch, from the connection to its end.
+    /// Runs one watch, from connecting to its end.
     fn watch_once(&mut self, location: Location) -> WatchEnd {
         let started_at = clock::now();
         self.progress = WatchProgress::default();
         let Err(error) = self.watch(location);
-        self.count_empty_lists();
+        self.update_empty_list_count();
         tracing::warn!(address = %location.address, reason = %ErrorChain(&error), "discovery watch closed");
         let reason = self.end_reason(&error);
-        // Without any event the service is known not to answer since the watch began, or since it refused.
+        // Without any event, the service has not answered since the watch began, or since it refused the
+        // request.
         let unanswered_at = if reason == WatchEndReason::Refused { clock::now() } else { started_at };
         WatchEnd { reason, in_sync_until: self.progress.last_event_at.unwrap_or(unanswered_at) }
     }
 
-    fn count_empty_lists(&mut self) {
+    fn update_empty_list_count(&mut self) {
         if self.is_list_empty {
             self.consecutive_empty_lists = self.consecutive_empty_lists.saturating_add(1);
-            // The revision of an empty list says nothing.
+            // The revision of an empty list carries no information, so the next watch fetches the full list.
             self.revision = None;
         } else {
             self.consecutive_empty_lists = 0;
@@ -170,12 +174,12 @@
         match error {
             WatchError::LocalShortage(_) => WatchEndReason::LocalFailure,
             _ if !self.progress.connected => WatchEndReason::Unreachable,
-            WatchError::Silent => WatchEndReason::Silent,
+            WatchError::TimedOut => WatchEndReason::Silent,
             _ => WatchEndReason::Refused,
         }
     }
 }
 
-fn discard_pending(poll_requests: &Receiver<()>) {
+fn drain_poll_requests(poll_requests: &Receiver<()>) {
     while poll_requests.try_recv().is_ok() {}
 }
--- a/dispatcher/src/wire/discovery/handle.rs
+++ b/dispatcher/src/wire/discovery/handle.rs
@@ -1,4 +1,4 @@
-//! The address of discovery, shared by the watcher and whoever moves it.
+//! The address of discovery, shared by the watcher and the code that reloads the configuration.
 
 use crate::core::clock;
 use crate::wire::socket::Socket;
@@ -9,58 +9,59 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Moves a [`DiscoveryWatcher`](super::DiscoveryWatcher) to another address, and says when it watches.
+/// Controls a [`DiscoveryWatcher`](super::DiscoveryWatcher): its address, and whether it watches
+/// continuously.
 #[derive(Clone)]
 pub struct DiscoveryHandle {
-    current: Arc<Mutex<Current>>,
-    /// The watch is kept open all the time, not only after a poll request.
+    current: Arc<Mutex<HandleState>>,
+    /// Whether the watch is kept open continuously instead of only after a poll request.
     always_watch: Arc<AtomicBool>,
     poll_requests: Sender<()>,
 }
 
-/// Where discovery is at present.
-struct Current {
+/// The current location, and the connection to it.
+struct HandleState {
     location: Location,
-    /// The connection that the watcher reads from.
+    /// The connection that the watcher reads from, if any.
     connection: Option<Socket>,
 }
 
-/// The address of discovery after so many moves.
+/// An address of discovery, with the number of moves that led to it.
 #[derive(Clone, Copy)]
 pub(super) struct Location {
-    /// The address.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// How often it was moved.
+    /// Number of moves so far.
     pub generation: u64,
-    /// When it was moved here; 0 where it never was.
+    /// When discovery was moved to this address; 0 if it was never moved.
     pub moved_at: Micros,
 }
 
 impl DiscoveryHandle {
-    /// Discovery at an address. `poll_requests` wakes the watcher.
+    /// Creates a handle for discovery at `address`. `poll_requests` wakes the watcher.
     pub fn new(address: SocketAddr, poll_requests: Sender<()>, always_watch: bool) -> DiscoveryHandle {
         let location = Location { address, generation: 0, moved_at: 0 };
         DiscoveryHandle {
-            current: Arc::new(Mutex::new(Current { location, connection: None })),
+            current: Arc::new(Mutex::new(HandleState { location, connection: None })),
             always_watch: Arc::new(AtomicBool::new(always_watch)),
             poll_requests,
         }
     }
 
-    /// Whether the watch is kept open all the time.
+    /// Whether the watch is kept open continuously.
     pub(super) fn always_watches(&self) -> bool {
         self.always_watch.load(Ordering::SeqCst)
     }
 
-    /// Sets whether the watch is kept open all the time, as lists are pushed.
+    /// Sets whether the watch is kept open continuously, as is needed when lists are pushed.
     pub fn set_always_watch(&self, always_watch: bool) {
         if self.always_watch.swap(always_watch, Ordering::SeqCst) != always_watch {
             self.wake_watcher();
         }
     }
 
-    /// Moves discovery to an address: closes the watch at the former one and wakes the watcher. False if it is there
-    /// already.
+    /// Moves discovery to `address`: closes the watch at the former address and wakes the watcher. Returns
+    /// false if `address` is the current one.
     pub fn move_to(&self, address: SocketAddr) -> bool {
         let mut current = self.current.lock();
         if current.location.address == address {
@@ -76,12 +77,13 @@
         true
     }
 
-    /// Where discovery is at present.
+    /// The current location of discovery.
     pub(super) fn location(&self) -> Location {
         self.current.lock().location
     }
 
-    /// Registers the watcher's connection, so that a move closes it; false if there was a move since `location`.
+    /// Registers the watcher's connection, so that a move closes it. Returns false if discovery was moved
+    /// after `location` was read.
     pub(super) fn register_connection(&self, location: Location, connection: &Socket) -> bool {
         let mut current = self.current.lock();
         if current.location.generation != location.generation {
--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -1,4 +1,4 @@
-//! One watch: the connection, the full list where its revision is unknown, and the events of the stream.
+//! A single watch: connects, fetches the full list if its revision is unknown, and reads the event stream.
 
 use super::handle::Location;
 use super::watch_error::WatchError;
@@ -13,24 +13,24 @@
 use std::convert::Infallible;
 use std::net::SocketAddr;
 
-/// How long a connection may take to come up, and a request to be written.
+/// Time limit for opening a connection, and for writing a request.
 const CONNECT_TIMEOUT: Micros = SECOND;
-/// How long a response may take, which may be queued at the service.
+/// Time limit for a response. It allows for requests that are queued at the service.
 const RESPONSE_TIMEOUT: Micros = 3 * SECOND;
-/// A complete list without any host is hardly ever true: the list is polled again after so long, each time twice as
-/// long, at most [`MAX_EMPTY_LIST_DOUBLINGS`] times.
-const EMPTY_LIST_RETRY: Micros = SECOND;
+/// Delay before the full list is fetched again after an empty one, which is almost always wrong. The delay is
+/// doubled each time, at most [`MAX_EMPTY_LIST_DOUBLINGS`] times.
+const EMPTY_LIST_RETRY_DELAY: Micros = SECOND;
 const MAX_EMPTY_LIST_DOUBLINGS: u32 = 3;
 
 impl DiscoveryWatcher {
-    /// Watches at a location until the watch ends; why it did.
+    /// Watches at a location until the watch ends. The error is the reason for the end.
     pub(super) fn watch(&mut self, location: Location) -> Result<Infallible, WatchError> {
         let mut socket = self.connect(location)?;
         self.progress.connected = true;
         let mut reader = Reader::with_max_body(socket.clone(), MAX_LIST_BYTES);
         if self.revision.is_none() {
-            let closes = self.fetch_full_list(location.address, &socket, &mut reader)?;
-            if closes {
+            let connection_closes = self.fetch_full_list(location.address, &socket, &mut reader)?;
+            if connection_closes {
                 socket = self.connect(location)?;
                 reader = Reader::with_max_body(socket.clone(), MAX_LIST_BYTES);
             }
@@ -40,7 +40,7 @@
         self.read_events(&mut reader)
     }
 
-    /// Opens a connection, which a move closes. Where this machine is short of something for it, it tries again.
+    /// Opens a connection, which a move closes. Retries while this machine is out of a resource.
     fn connect(&mut self, location: Location) -> Result<Socket, WatchError> {
         let deadline = deadline_after(CONNECT_TIMEOUT);
         let mut retry = LocalRetry::default();
@@ -49,7 +49,7 @@
                 Ok(socket) => break socket,
                 Err(ConnectError::Peer(error)) => return Err(WatchError::Connect(error)),
                 Err(ConnectError::Local(error)) => {
-                    tracing::debug!(reason = %error, "cannot connect to discovery yet");
+                    tracing::debug!(reason = %error, "cannot connect to discovery: local resource shortage");
                     if !retry.wait(deadline) {
                         return Err(WatchError::LocalShortage(error));
                     }
@@ -62,7 +62,7 @@
         Ok(socket)
     }
 
-    /// Polls the full list; whether the connection closes after it.
+    /// Fetches the full list. Returns whether the connection closes after it.
     fn fetch_full_list(
         &mut self,
         address: SocketAddr,
@@ -81,15 +81,15 @@
         Ok(response.close)
     }
 
-    /// Reads the events of the stream until it ends, or the full list is due.
+    /// Reads events until the stream ends, or until the full list is due.
     fn read_events(&mut self, reader: &mut Reader) -> Result<Infallible, WatchError> {
         let mut parser = ListParser::default();
         let mut empty_list_retry_at = None;
-        let mut silent_at = deadline_after(WATCH_TIMEOUT);
+        let mut silence_deadline = deadline_after(WATCH_TIMEOUT);
         loop {
             empty_list_retry_at = self.empty_list_retry_at(empty_list_retry_at);
             let due = [empty_list_retry_at, self.resync_at].into_iter().flatten();
-            let deadline = due.fold(silent_at, Micros::min);
+            let deadline = due.fold(silence_deadline, Micros::min);
             let mut chunk = Vec::new();
             match reader.read_chunk(&mut chunk, MAX_LIST_BYTES, deadline) {
                 Ok(true) => {}
@@ -103,13 +103,14 @@
             let continues_list = parser.buffered() > 0;
             parser.push(&chunk);
             let found_any = self.apply_lists(&mut parser)?;
-            let is_drained = parser.buffered() == 0;
-            // A list that trickles in gets no more time than silence: it says as little.
-            if found_any || !continues_list || is_drained {
-                silent_at = deadline_after(WATCH_TIMEOUT);
+            let is_buffer_empty = parser.buffered() == 0;
+            // The bytes of an incomplete list do not extend the deadline: a list that arrives slowly carries
+            // no more information than silence.
+            if found_any || !continues_list || is_buffer_empty {
+                silence_deadline = deadline_after(WATCH_TIMEOUT);
             }
-            if is_drained {
-                self.note_event();
+            if is_buffer_empty {
+                self.record_event();
             }
             if parser.buffered() > MAX_LIST_BYTES {
                 return Err(WatchError::ListTooLong);
@@ -117,16 +118,16 @@
         }
     }
 
-    /// When the list is polled again, if the latest one was empty; `planned` is the time that was set before.
+    /// When the full list is fetched again, if the latest one was empty. `planned` is the time set before.
     fn empty_list_retry_at(&self, planned: Option<Micros>) -> Option<Micros> {
         if !self.is_list_empty {
             return None;
         }
         let doublings = self.consecutive_empty_lists.min(MAX_EMPTY_LIST_DOUBLINGS);
-        Some(planned.unwrap_or_else(|| deadline_after(EMPTY_LIST_RETRY << doublings)))
+        Some(planned.unwrap_or_else(|| deadline_after(EMPTY_LIST_RETRY_DELAY << doublings)))
     }
 
-    /// Applies the lists that have been received; whether there was any, malformed ones included.
+    /// Applies the lists that have been received. Returns whether there was any, including malformed ones.
     fn apply_lists(&mut self, parser: &mut ListParser) -> Result<bool, WatchError> {
         let mut found_any = false;
         while let Some(found) = parser.next_list() {
@@ -139,27 +140,27 @@
         Ok(found_any)
     }
 
-    /// Notes bytes that are no part of a list still to come. The first ones of a watch, be it an empty line, say that
-    /// the list is up to date.
-    fn note_event(&mut self) {
+    /// Records an event: received bytes that do not belong to an incomplete list. The first event of a watch,
+    /// even an empty line, confirms that the list is up to date.
+    fn record_event(&mut self) {
         let previous = self.progress.last_event_at.replace(clock::now());
         if previous.is_none() {
             self.inbox.post(Input::Hosts { fleet: self.fleet, mode: ListMode::Changes, hosts: Vec::new() });
         }
     }
 
-    /// A malformed list is skipped; the last good one stays.
+    /// Counts a malformed list, which is skipped; the last valid list stays in use.
     fn count_malformed_list(&self, error: &MalformedList) {
         let count = self.metrics.count_malformed_list();
         tracing::warn!(count, reason = %error, "malformed endpoint list skipped");
     }
 
-    /// Hands a list to the decisions.
+    /// Passes a list to the owner thread.
     fn apply_list(&mut self, mut list: EndpointList) -> Result<(), WatchError> {
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
         if is_older && !list.is_complete {
-            // Changes to what is not known here, or of long ago.
-            tracing::warn!(revision = list.revision, "changes of an older revision, polling the full list");
+            // The changes refer to a state that is not known here, or are outdated.
+            tracing::warn!(revision = list.revision, "changes of an older revision, fetching the full list");
             self.revision = None;
             return Err(WatchError::OutdatedChanges);
         }
@@ -168,10 +169,10 @@
         if list.is_complete {
             self.resync_at = None;
         }
-        // Empty changes say nothing of which hosts there are.
+        // A list of changes without entries leaves the hosts as they are.
         self.is_list_empty = list.targets.is_empty() && (list.is_complete || self.is_list_empty);
         if self.is_list_empty {
-            tracing::warn!("empty endpoint list, polling again");
+            tracing::warn!("empty endpoint list, fetching it again later");
         }
         self.history.record(&mut list);
         let mode = if list.is_complete { ListMode::Complete } else { ListMode::Changes };
@@ -181,7 +182,7 @@
     }
 }
 
-/// Opens the stream of changes after a revision.
+/// Opens the stream of changes after `revision`.
 fn open_stream(
     address: SocketAddr,
     revision: u64,
--- a/dispatcher/src/wire/discovery/watch_error.rs
+++ b/dispatcher/src/wire/discovery/watch_error.rs
@@ -1,16 +1,16 @@
-//! Why a watch ended.
+//! The reasons why a watch ends.
 
 use crate::wire::http::HttpError;
 use std::io;
 use thiserror::Error;
 
-/// Why a watch ended.
+/// The reason why a watch ended.
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
-    /// The connection did not come up, as this machine is short of something.
-    #[error("cannot connect: this machine is short of something")]
+    /// The connection could not be opened because this machine is out of a resource.
+    #[error("cannot connect: local resource shortage")]
     LocalShortage(#[source] io::Error),
-    /// The connection did not come up.
+    /// The service refused the connection, or could not be reached in time.
     #[error("cannot connect")]
     Connect(#[source] io::Error),
     /// The request could not be sent.
@@ -19,32 +19,32 @@
     /// Discovery was moved to another address.
     #[error("discovery was moved")]
     Moved,
-    /// There was no response or event in time.
+    /// No response or event was received before the deadline.
     #[error("no response or event in time")]
-    Silent,
+    TimedOut,
     /// The connection was closed between messages, or the stream ended.
     #[error("closed by discovery")]
     Closed,
     /// The connection failed within a message.
-    #[error("the connection failed")]
-    Broken,
-    /// The response is no HTTP, or is too long: the source has the status that says so.
+    #[error("connection failed within a message")]
+    ConnectionLost,
+    /// The response is not valid HTTP, or is too long; the source holds the corresponding status.
     #[error("invalid HTTP response")]
     InvalidResponse(#[source] HttpError),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The response has a status other than 200.
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// There is no list to watch the changes of: the full list was malformed.
-    #[error("no full list")]
+    /// The full list was malformed, so there is no revision after which changes could be watched.
+    #[error("no valid full list")]
     NoRevision,
-    /// Changes begin before the revision that is known.
+    /// Changes of a revision older than the known one were received.
     #[error("changes of an older revision")]
     OutdatedChanges,
-    /// A list is longer than is read.
+    /// A list exceeds the maximum size.
     #[error("the list is too long")]
     ListTooLong,
-    /// The full list is polled, some time after a move.
-    #[error("polling the full list after a move")]
+    /// The full list is due for fetching after a move.
+    #[error("fetching the full list after a move")]
     ResyncDue,
 }
 
@@ -52,8 +52,8 @@
     fn from(error: HttpError) -> WatchError {
         match error {
             HttpError::Closed => WatchError::Closed,
-            HttpError::ConnectionLost => WatchError::Broken,
-            HttpError::TimedOut => WatchError::Silent,
+            HttpError::ConnectionLost => WatchError::ConnectionLost,
+            HttpError::TimedOut => WatchError::TimedOut,
             HttpError::Status(_) => WatchError::InvalidResponse(error),
         }
     }
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -1,7 +1,7 @@
 //! Export of finished streams as IPFIX flow records (RFC 7011, RFC 7012) over UDP.
 //!
-//! A bounded queue stands between the owner thread and the exporter. Records that do not fit are dropped and
-//! counted, and the count is exported with the templates.
+//! The owner thread passes records to the exporter through a bounded queue. Records that exceed its capacity
+//! are dropped and counted, and the count is exported with the templates.
 
 mod elements;
 mod exporter;
@@ -20,28 +20,28 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Most records that wait to be exported.
-const MAX_QUEUED: usize = 1024;
+/// Maximum number of queued records.
+const MAX_QUEUED_RECORDS: usize = 1024;
 
-/// The owner thread's end of the queue.
-struct Queue {
+/// The owner thread's end of the record queue.
+struct QueueSender {
     records: Sender<Flow>,
     counts: Arc<QueueCounts>,
 }
 
-/// The counts that both ends of the queue share.
+/// Counts that both ends of the queue share.
 #[derive(Default)]
 struct QueueCounts {
-    /// Records that wait to be exported.
+    /// Number of records that wait to be exported.
     queued: AtomicUsize,
-    /// Records that were dropped.
+    /// Number of records that were dropped.
     dropped: AtomicU64,
 }
 
-impl FlowSink for Queue {
+impl FlowSink for QueueSender {
     fn finished(&self, flow: Flow) {
         let queued = self.counts.queued.fetch_add(1, Ordering::SeqCst);
-        if queued >= MAX_QUEUED || self.records.send(flow).is_err() {
+        if queued >= MAX_QUEUED_RECORDS || self.records.send(flow).is_err() {
             self.counts.queued.fetch_sub(1, Ordering::SeqCst);
             self.counts.dropped.fetch_add(1, Ordering::SeqCst);
         }
@@ -51,7 +51,7 @@
 /// Starts the exporter.
 ///
 /// # Errors
-/// Its socket cannot be opened.
+/// The socket cannot be opened.
 pub fn start(settings: &IpfixSettings, site: &Site) -> io::Result<Box<dyn FlowSink>> {
     let any_address = if settings.collector.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
     let socket = UdpSocket::bind(any_address)?;
@@ -60,5 +60,5 @@
     let class_names = site.classes.names().to_vec();
     let exporter = Exporter::new(settings, socket, counts.clone(), class_names);
     may::go!(move || exporter.run(&queue));
-    Ok(Box::new(Queue { records, counts }))
+    Ok(Box::new(QueueSender { records, counts }))
 }
--- a/dispatcher/src/wire/ipfix/elements.rs
+++ b/dispatcher/src/wire/ipfix/elements.rs
@@ -1,11 +1,11 @@
-//! The information elements that are exported, and the templates made of them.
+//! The exported information elements, and the templates that consist of them.
 
-/// An information element in a template, with its length in a record.
+/// A field of a template: an information element and its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Element {
-    /// Its number in IANA's registry "IPFIX Information Elements".
+    /// The id of the element in the IANA registry "IPFIX Information Elements".
     pub(super) id: u16,
-    /// Its length in a record, in bytes.
+    /// The length of the element in a record, in bytes.
     pub(super) length: u16,
 }
 
@@ -13,8 +13,8 @@
     Element { id, length }
 }
 
-/// Bytes of the name of a class. Names have a fixed length and are padded with zeros, as collectors differ in
-/// their support of variable lengths.
+/// Length of a class name in a record, in bytes. Names have a fixed length and are padded with zeros, because
+/// not all collectors support variable-length elements.
 pub(super) const CLASS_NAME_LENGTH: usize = 32;
 
 const PROTOCOL_IDENTIFIER: Element = element(4, 1);
@@ -36,7 +36,7 @@
 const RESPONDER_OCTETS: Element = element(232, 8);
 const HTTP_STATUS_CODE: Element = element(457, 2);
 
-/// The elements of a flow record after its addresses, in their order.
+/// The elements of a flow record after its addresses, in the order in which they are exported.
 pub(super) const FLOW_ELEMENTS: [Element; 11] = [
     FLOW_START_MILLISECONDS,
     FLOW_END_MILLISECONDS,
@@ -50,23 +50,23 @@
     DESTINATION_TRANSPORT_PORT,
     APPLICATION_NAME,
 ];
-/// The addresses of a flow between IPv4 addresses.
+/// The address elements of a flow between IPv4 addresses.
 pub(super) const IPV4_ELEMENTS: [Element; 2] = [SOURCE_IPV4_ADDRESS, DESTINATION_IPV4_ADDRESS];
-/// The addresses of any other flow.
+/// The address elements of any other flow.
 pub(super) const IPV6_ELEMENTS: [Element; 2] = [SOURCE_IPV6_ADDRESS, DESTINATION_IPV6_ADDRESS];
-/// The exporter's counts; the first one is the scope.
+/// The elements of the exporter's counts; the first one is the scope.
 pub(super) const COUNT_ELEMENTS: [Element; 3] =
     [EXPORTING_PROCESS_ID, EXPORTED_FLOW_RECORD_TOTAL_COUNT, NOT_SENT_FLOW_TOTAL_COUNT];
 /// Number of scope fields in [`COUNT_ELEMENTS`].
 pub(super) const COUNT_SCOPE_FIELDS: u16 = 1;
 
 /// Set id of templates (RFC 7011, 3.3.2).
-pub(super) const TEMPLATE_SET: u16 = 2;
+pub(super) const TEMPLATE_SET_ID: u16 = 2;
 /// Set id of options templates (RFC 7011, 3.3.2).
-pub(super) const OPTIONS_TEMPLATE_SET: u16 = 3;
+pub(super) const OPTIONS_TEMPLATE_SET_ID: u16 = 3;
 /// Template id of flows between IPv4 addresses.
-pub(super) const IPV4_FLOWS: u16 = 256;
+pub(super) const IPV4_FLOW_TEMPLATE: u16 = 256;
 /// Template id of all other flows.
-pub(super) const IPV6_FLOWS: u16 = 257;
+pub(super) const IPV6_FLOW_TEMPLATE: u16 = 257;
 /// Template id of the exporter's counts.
-pub(super) const COUNTS: u16 = 258;
+pub(super) const COUNTS_TEMPLATE: u16 = 258;
--- a/dispatcher/src/wire/ipfix/exporter.rs
+++ b/dispatcher/src/wire/ipfix/exporter.rs
@@ -1,8 +1,8 @@
-//! The exporter: gathers records in messages, and sends them and the templates to the collector.
+//! The exporter: batches records into messages, and sends them and the templates to the collector.
 
 use super::elements::{
-    COUNT_ELEMENTS, COUNT_SCOPE_FIELDS, COUNTS, Element, FLOW_ELEMENTS, IPV4_ELEMENTS, IPV4_FLOWS,
-    IPV6_ELEMENTS, IPV6_FLOWS, OPTIONS_TEMPLATE_SET, TEMPLATE_SET,
+    COUNT_ELEMENTS, COUNT_SCOPE_FIELDS, COUNTS_TEMPLATE, Element, FLOW_ELEMENTS, IPV4_ELEMENTS,
+    IPV4_FLOW_TEMPLATE, IPV6_ELEMENTS, IPV6_FLOW_TEMPLATE, OPTIONS_TEMPLATE_SET_ID, TEMPLATE_SET_ID,
 };
 use super::message::MessageBuilder;
 use super::record::Record;
@@ -16,23 +16,23 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::RecvTimeoutError;
 
-/// Longest that a record waits for others, in microseconds.
-const GATHER_TIME: Micros = SECOND / 2;
+/// Maximum time that a record waits in a message for further records.
+const MAX_BATCH_DELAY: Micros = SECOND / 2;
 
 /// Sends records and templates to the collector.
 pub(super) struct Exporter {
     socket: UdpSocket,
     collector: SocketAddr,
-    /// How often the templates are sent again.
+    /// Interval at which the templates are sent again.
     template_refresh: Micros,
     counts: Arc<QueueCounts>,
     class_names: Vec<String>,
     message: MessageBuilder,
-    /// Records that were exported.
+    /// Number of records that were exported.
     exported: u64,
-    /// When the templates were sent last.
+    /// When the templates were last sent.
     templates_sent_at: Option<Micros>,
-    /// When the message is sent at the latest, if it holds records.
+    /// The latest time at which the message is sent, if it holds records.
     flush_at: Option<Micros>,
 }
 
@@ -56,15 +56,15 @@
         }
     }
 
-    /// Exports what the queue holds, until its other end is dropped.
+    /// Exports the queued records until the sender is dropped.
     pub(super) fn run(mut self, queue: &Receiver<Flow>) {
         loop {
-            let wake_at = self.send_due(clock::now());
-            match queue.recv_timeout(clock::left(wake_at)) {
+            let next_due_at = self.send_if_due(clock::now());
+            match queue.recv_timeout(clock::left(next_due_at)) {
                 Ok(flow) => {
                     self.counts.queued.fetch_sub(1, Ordering::SeqCst);
                     self.add_flow(&flow);
-                    self.flush_at = self.flush_at.or(Some(clock::now() + GATHER_TIME));
+                    self.flush_at = self.flush_at.or(Some(clock::now() + MAX_BATCH_DELAY));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return self.flush(),
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Sends what is due; when something is due next.
-    fn send_due(&mut self, now: Micros) -> Micros {
+    /// Sends the templates and the message if they are due. Returns when the next of them is due.
+    fn send_if_due(&mut self, now: Micros) -> Micros {
         if self.templates_sent_at.is_none_or(|sent_at| now - sent_at >= self.template_refresh) {
             self.templates_sent_at = Some(now);
             self.send_templates();
@@ -86,25 +86,25 @@
         self.flush_at.map_or(refresh_at, |flush_at| flush_at.min(refresh_at))
     }
 
-    /// Sends the templates, and the counts of records so far.
+    /// Sends the templates, and the current record counts.
     fn send_templates(&mut self) {
         self.flush();
-        self.add_flow_template(IPV4_FLOWS, IPV4_ELEMENTS);
-        self.add_flow_template(IPV6_FLOWS, IPV6_ELEMENTS);
-        let header = [COUNTS, COUNT_ELEMENTS.len() as u16, COUNT_SCOPE_FIELDS];
-        self.message.add_template(OPTIONS_TEMPLATE_SET, &header, &COUNT_ELEMENTS);
+        self.add_flow_template(IPV4_FLOW_TEMPLATE, IPV4_ELEMENTS);
+        self.add_flow_template(IPV6_FLOW_TEMPLATE, IPV6_ELEMENTS);
+        let header = [COUNTS_TEMPLATE, COUNT_ELEMENTS.len() as u16, COUNT_SCOPE_FIELDS];
+        self.message.add_template(OPTIONS_TEMPLATE_SET_ID, &header, &COUNT_ELEMENTS);
         let dropped = self.counts.dropped.load(Ordering::SeqCst);
         let mut counts = Vec::new();
         counts.extend(std::process::id().to_be_bytes());
         counts.extend(self.exported.to_be_bytes());
         counts.extend(dropped.to_be_bytes());
-        self.message.add_record(COUNTS, &counts);
+        self.message.add_record(COUNTS_TEMPLATE, &counts);
         self.flush();
     }
 
     fn add_flow_template(&mut self, id: u16, addresses: [Element; 2]) {
         let elements: Vec<Element> = addresses.into_iter().chain(FLOW_ELEMENTS).collect();
-        self.message.add_template(TEMPLATE_SET, &[id, elements.len() as u16], &elements);
+        self.message.add_template(TEMPLATE_SET_ID, &[id, elements.len() as u16], &elements);
     }
 
     fn add_flow(&mut self, flow: &Flow) {
@@ -117,7 +117,7 @@
         self.message.add_record(record.template, &record.bytes);
     }
 
-    /// Sends the message. Losses in the network show in the sequence numbers.
+    /// Sends the message. Errors are ignored: the collector detects lost messages by their sequence numbers.
     fn flush(&mut self) {
         if let Some(message) = self.message.finish() {
             let _ = self.socket.send_to(&message, self.collector);
--- a/dispatcher/src/wire/ipfix/message.rs
+++ b/dispatcher/src/wire/ipfix/message.rs
@@ -1,31 +1,31 @@
-//! The encoding of IPFIX messages (RFC 7011, 3).
+//! Encoding of IPFIX messages (RFC 7011, 3).
 
 use super::elements::Element;
 use crate::core::clock;
 use roselock::SECOND;
 
-/// Most bytes of a message: what an unfragmented datagram carries.
-const MAX_MESSAGE: usize = 1400;
-/// Bytes of a message's header.
+/// Maximum size of a message, in bytes. It fits into an unfragmented datagram.
+const MAX_MESSAGE_BYTES: usize = 1400;
+/// Length of a message header, in bytes.
 const MESSAGE_HEADER_LENGTH: usize = 16;
-/// Bytes of a set's header: its id and its length.
+/// Length of a set header, in bytes. The header consists of the id and the length of the set.
 const SET_HEADER_LENGTH: usize = 4;
-/// The version of IPFIX.
+/// The version number in the message header.
 const VERSION: u16 = 10;
 
-/// A set of a message.
+/// A set within a message.
 struct Set {
     id: u16,
-    /// Where it begins in the message.
+    /// The start offset of the set in the message.
     start: usize,
 }
 
-/// Builds messages one after another.
+/// Builds a sequence of messages.
 pub(super) struct MessageBuilder {
     observation_domain: u32,
-    /// Data records in the messages before this one.
+    /// Number of data records in the previous messages.
     sequence: u32,
-    /// Data records in this message.
+    /// Number of data records in the current message.
     records: u32,
     bytes: Vec<u8>,
     last_set: Option<Set>,
@@ -36,19 +36,20 @@
         MessageBuilder { observation_domain, sequence: 0, records: 0, bytes: Vec::new(), last_set: None }
     }
 
-    /// Whether a data record of this length, with the header of a new set, still fits.
+    /// Whether a data record of this length, with the header of a new set, fits into the current message.
     pub(super) fn has_room(&self, record_length: usize) -> bool {
-        self.bytes.len() + record_length + SET_HEADER_LENGTH <= MAX_MESSAGE
+        self.bytes.len() + record_length + SET_HEADER_LENGTH <= MAX_MESSAGE_BYTES
     }
 
-    /// Adds a data record to the last set if that has the same template, else to a new one.
+    /// Adds a data record to the last set if that set has the same template, otherwise to a new set.
     pub(super) fn add_record(&mut self, template: u16, record: &[u8]) {
         self.add_to_set(template, record);
         self.records += 1;
     }
 
-    /// Adds a template to the last set if that has the same id, else to a new one. The template begins with
-    /// `header`: its id, the number of its elements and, for an options template, that of its scope fields.
+    /// Adds a template to the last set if that set has the same id, otherwise to a new set. The template
+    /// begins with `header`: the template id, the number of elements and, for an options template, the number
+    /// of scope fields.
     pub(super) fn add_template(&mut self, set: u16, header: &[u16], elements: &[Element]) {
         let mut template = Vec::new();
         for value in header {
@@ -61,7 +62,7 @@
         self.add_to_set(set, &template);
     }
 
-    /// The message, if it has a set, and begins the next one.
+    /// Completes the message and starts the next one. Returns `None` if the message is empty.
     pub(super) fn finish(&mut self) -> Option<Vec<u8>> {
         let mut bytes = std::mem::take(&mut self.bytes);
         if bytes.is_empty() {
@@ -93,7 +94,7 @@
         self.bytes[start + 2..start + SET_HEADER_LENGTH].copy_from_slice(&length.to_be_bytes());
     }
 
-    /// Begins a set; where it begins in the message.
+    /// Begins a set. Returns its start offset in the message.
     fn begin_set(&mut self, id: u16) -> usize {
         let start = self.bytes.len();
         self.bytes.extend(id.to_be_bytes());
--- a/dispatcher/src/wire/ipfix/record.rs
+++ b/dispatcher/src/wire/ipfix/record.rs
@@ -1,25 +1,24 @@
-//! The encoding of a flow record.
+//! Encoding of flow records.
 
-use super::elements::{CLASS_NAME_LENGTH, IPV4_FLOWS, IPV6_FLOWS};
+use super::elements::{CLASS_NAME_LENGTH, IPV4_FLOW_TEMPLATE, IPV6_FLOW_TEMPLATE};
 use crate::core::{Flow, StreamOutcome};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// Usual size of a record, in bytes.
+/// Initial capacity of a record's buffer, in bytes; a usual record fits.
 const RECORD_CAPACITY: usize = 128;
-/// TCP, as protocolIdentifier.
+/// protocolIdentifier of TCP.
 const PROTOCOL_TCP: u8 = 6;
-/// Microseconds of a millisecond.
 const MICROS_PER_MILLI: i64 = 1000;
 
-/// A flow record.
+/// An encoded flow record.
 pub(super) struct Record {
-    /// The id of its template.
+    /// The id of the template.
     pub(super) template: u16,
-    /// Its bytes.
+    /// The encoded elements.
     pub(super) bytes: Vec<u8>,
 }
 
-/// How a flow ended, as it is exported.
+/// The exported elements that describe how a flow ended.
 struct FlowEnd {
     /// httpStatusCode; 0 if the client got none.
     status: u16,
@@ -37,7 +36,7 @@
 const LACK_OF_RESOURCES: u8 = 5;
 
 impl FlowEnd {
-    fn of(outcome: StreamOutcome) -> FlowEnd {
+    fn from_outcome(outcome: StreamOutcome) -> FlowEnd {
         let (status, reason) = match outcome {
             StreamOutcome::Served => (200, END_OF_FLOW),
             StreamOutcome::Rejected => (503, LACK_OF_RESOURCES),
@@ -50,12 +49,12 @@
 }
 
 impl Record {
-    /// The record of a flow, whose class has this name.
+    /// Encodes the record of a flow.
     pub(super) fn new(flow: &Flow, class_name: &str) -> Record {
         let source = flow.downstream;
         let destination = flow.upstream;
         let is_ipv4 = source.is_ipv4() && destination.is_none_or(|address| address.is_ipv4());
-        let end = FlowEnd::of(flow.outcome);
+        let end = FlowEnd::from_outcome(flow.outcome);
         let mut bytes = Vec::with_capacity(RECORD_CAPACITY);
         push_address(&mut bytes, Some(source.ip()), is_ipv4);
         push_address(&mut bytes, destination.map(|address| address.ip()), is_ipv4);
@@ -69,11 +68,11 @@
         bytes.extend(source.port().to_be_bytes());
         bytes.extend(destination.map_or(0, |address| address.port()).to_be_bytes());
         bytes.extend(padded_name(class_name));
-        Record { template: if is_ipv4 { IPV4_FLOWS } else { IPV6_FLOWS }, bytes }
+        Record { template: if is_ipv4 { IPV4_FLOW_TEMPLATE } else { IPV6_FLOW_TEMPLATE }, bytes }
     }
 }
 
-/// Appends an address; zeros if there is none.
+/// Appends an address, or zeros if there is none.
 fn push_address(bytes: &mut Vec<u8>, address: Option<IpAddr>, is_ipv4: bool) {
     match (address, is_ipv4) {
         (Some(IpAddr::V4(address)), true) => bytes.extend(address.octets()),
@@ -84,7 +83,7 @@
     }
 }
 
-/// A name, cut or padded with zeros to its length in a record.
+/// Truncates a name to its length in a record, or pads it with zeros.
 fn padded_name(name: &str) -> [u8; CLASS_NAME_LENGTH] {
     let mut padded = [0; CLASS_NAME_LENGTH];
     let length = name.len().min(CLASS_NAME_LENGTH);
--- a/dispatcher/src/wire/list.rs
+++ b/dispatcher/src/wire/list.rs
@@ -1,24 +1,24 @@
-//! The endpoint list as discovery sends it: its JSON form, and what it says of the upstream hosts. No I/O.
+//! The JSON format of the endpoint list that discovery sends, and its conversion to upstream hosts. No I/O.
 
 use crate::core::ListedHost;
 use roselock::settings::{Site, fnv};
 use roselock::{CellId, Endpoint, EndpointState, KindId, Micros, WorkerId, ZoneId};
 use serde::Deserialize;
 
-/// A complete endpoint list, or the changes to one, as on the wire.
+/// A complete endpoint list, or a list of changes, as received.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Its revision.
+    /// The revision of the list.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether it is complete; otherwise it has the changes since an earlier revision.
+    /// Whether the list is complete; otherwise it contains the changes since an earlier revision.
     #[serde(rename = "all", default)]
     pub is_complete: bool,
-    /// Its entries.
+    /// The entries of the list.
     pub targets: Vec<Target>,
 }
 
-/// An entry of the list: an upstream host, as on the wire.
+/// An entry of the list, which describes an upstream host.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Target {
     /// The worker's id.
@@ -35,13 +35,14 @@
     pub(super) state: String,
     #[serde(rename = "capacity_hint", default)]
     units: f64,
-    /// When it started, in milliseconds since the Unix epoch; 0: long ago.
+    /// When the worker started, in milliseconds since the Unix epoch; 0 means long ago.
     #[serde(rename = "boot_ms", default)]
     pub(super) started_at_ms: f64,
 }
 
 impl Target {
-    /// The host that the entry describes; none if its state is unknown, or if it is ready at no valid address.
+    /// The host that the entry describes. `None` if its state is unknown, or if it is ready without a valid
+    /// address.
     fn to_listed_host(&self, site: &mut Site) -> Option<ListedHost> {
         let state = match self.state.as_str() {
             "ready" => EndpointState::Ready,
@@ -66,7 +67,7 @@
     }
 }
 
-/// The hosts of a list. Malformed entries are skipped. Zones and kinds that are new get an id in `site`.
+/// The hosts of a list. Invalid entries are skipped. New zones and kinds are assigned ids in `site`.
 pub fn listed_hosts(list: &EndpointList, site: &mut Site) -> Vec<ListedHost> {
     list.targets.iter().filter_map(|target| target.to_listed_host(site)).collect()
 }
--- a/dispatcher/src/wire/list_history_tests.rs
+++ b/dispatcher/src/wire/list_history_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the history of endpoint lists: what an older revision may change.
+//! Tests of the history of endpoint lists, in particular of the effect of older revisions.
 
 use super::ListHistory;
 use crate::wire::list::EndpointList;
@@ -18,7 +18,8 @@
     list.targets.into_iter().map(|target| target.state).collect()
 }
 
-/// Guards against a worker that an older revision restores, and against one that is never restored.
+/// An older revision does not put an unavailable worker back into use, but the same or a later one does, and
+/// so does a restart of the worker.
 #[rstest]
 #[case::older(5, 1, "draining")]
 #[case::same(6, 1, "ready")]
@@ -38,7 +39,7 @@
     }
 }
 
-/// Guards against a worker that is missing from a complete list, and that an older one puts back in use.
+/// A worker that is missing from a complete list is not put back into use by an older list.
 #[rstest]
 fn worker_missing_from_newer_complete_list_is_unavailable() {
     let mut history = ListHistory::default();
--- a/dispatcher/src/wire/list_parser.rs
+++ b/dispatcher/src/wire/list_parser.rs
@@ -1,32 +1,33 @@
-//! Finds the endpoint lists in the bytes of a discovery watch. No I/O.
+//! Incremental parser of the endpoint lists in the bytes of a discovery watch. No I/O.
 
 use super::list::EndpointList;
 use serde::de::IgnoredAny;
 use serde_json::Deserializer;
 use thiserror::Error;
 
-/// Why bytes of a watch were skipped.
+/// The reason why bytes of a watch were skipped.
 #[derive(Debug, Error)]
 pub enum MalformedList {
-    /// Another list begins before the end of this one.
-    #[error("cut off")]
+    /// The list is incomplete and followed by another one.
+    #[error("truncated list")]
     Truncated,
-    /// It is no JSON, or no list.
+    /// The bytes are not valid JSON, or the value is not an endpoint list.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// Finds the lists in a stream of bytes: JSON objects, each on one line or written over many indented ones. What is
-/// truncated or malformed is skipped, up to the next line that begins with a brace: only a list begins at the margin.
+/// Extracts the lists from a stream of bytes. Lists are JSON objects, each on a single line or spread over
+/// several indented lines. Truncated or malformed input is skipped up to the next line that begins with a
+/// brace, because only a list begins in the first column.
 #[derive(Default)]
 pub struct ListParser {
     buffer: Vec<u8>,
-    /// Set while malformed bytes are skipped: whether the last of them ended a line.
+    /// `Some` while malformed bytes are skipped: whether the last skipped byte ended a line.
     skipping: Option<bool>,
 }
 
 impl ListParser {
-    /// Appends bytes as they were received.
+    /// Appends received bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         if let Some(at_line_start) = self.skipping {
             let Some(start) = next_list_start(bytes, at_line_start) else {
@@ -39,12 +40,12 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes of a list that is not complete yet; at least 1 while malformed bytes are skipped.
+    /// Number of buffered bytes of an incomplete list; at least 1 while malformed bytes are skipped.
     pub fn buffered(&self) -> usize {
         self.buffer.len() + usize::from(self.skipping.is_some())
     }
 
-    /// The next list, or why what stood there is skipped; none until more bytes are received.
+    /// The next list, or the reason why bytes were skipped; `None` if more bytes are needed.
     pub fn next_list(&mut self) -> Option<Result<EndpointList, MalformedList>> {
         self.skip_whitespace();
         if self.buffer.is_empty() {
@@ -64,18 +65,18 @@
     }
 
     fn skip_whitespace(&mut self) {
-        let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        self.buffer.drain(..blank);
+        let whitespace_length = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        self.buffer.drain(..whitespace_length);
     }
 
-    /// Takes the value that ends at `end`.
+    /// Removes the value that ends at `end` and parses it as a list.
     fn take_list(&mut self, end: usize) -> Result<EndpointList, MalformedList> {
         let list = serde_json::from_slice(&self.buffer[..end]);
         self.buffer.drain(..end);
         Ok(list?)
     }
 
-    /// Skips an incomplete list if a complete one follows it; otherwise the rest of it may still come.
+    /// Skips an incomplete list if a complete one follows it; otherwise its remaining bytes may still arrive.
     fn skip_truncated(&mut self) -> Option<Result<EndpointList, MalformedList>> {
         let next = next_list_start(&self.buffer[1..], false)? + 1;
         let mut following = Deserializer::from_slice(&self.buffer[next..]).into_iter::<EndpointList>();
@@ -86,7 +87,7 @@
         Some(Err(MalformedList::Truncated))
     }
 
-    /// Skips up to the next list, which may not have been received yet.
+    /// Skips bytes up to the next list, which may not have been received yet.
     fn skip_malformed(&mut self) {
         if let Some(next) = next_list_start(&self.buffer[1..], false) {
             self.buffer.drain(..=next);
@@ -97,7 +98,7 @@
     }
 }
 
-/// The first position where a line begins with a brace. `at_line_start`: whether `bytes` begin at the start of a line.
+/// The first position where a line begins with a brace. `at_line_start` is whether `bytes` begins a line.
 fn next_list_start(bytes: &[u8], at_line_start: bool) -> Option<usize> {
     let starts_line = |index: usize| if index == 0 { at_line_start } else { bytes[index - 1] == b'\n' };
     (0..bytes.len()).find(|index| bytes[*index] == b'{' && starts_line(*index))
--- a/dispatcher/src/wire/mod.rs
+++ b/dispatcher/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Protocols and sockets: the HTTP and Gearman fronts, upstream connections, discovery, the admin address and
-//! IPFIX.
+//! Network protocols and sockets: the HTTP and Gearman fronts, upstream connections, discovery, the admin
+//! address and IPFIX export.
 
 pub mod admin;
 pub mod arrivals;
