--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -1,4 +1,4 @@
-//! The platform's front: requests of clients and callbacks of upstream hosts, on one listener.
+//! The HTTP front: serves requests of clients and callbacks of upstream hosts on one listener.
 
 mod connection;
 mod request;
@@ -13,43 +13,45 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 
-/// What a front is made of.
+/// The parameters of a [`Front`].
 pub struct FrontParameters {
-    /// The settings and their names.
+    /// The settings, with the names of classes and tenants.
     pub site: Arc<Site>,
-    /// The way to the owner thread.
+    /// The inbox of the owner thread.
     pub inbox: Inbox,
     /// The fleet that runs the streams.
     pub fleet: FleetId,
-    /// Most connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// Bytes that all bodies may occupy together.
+    /// Total memory for request bodies, in bytes.
     pub body_bytes: usize,
-    /// Whether the listener is the platform's, on which the next process accepts once this one stops.
+    /// Whether the listener is inherited from the platform. The next process then accepts on it once this one
+    /// stops.
     pub inherited: bool,
-    /// The figures of the admin address; requests that are rejected here are counted here.
+    /// The metrics of the admin address, which count requests that the front rejects.
     pub metrics: Arc<Metrics>,
 }
 
-/// What all connections of the front share.
+/// State shared by all connections of the front.
 pub struct Front {
-    /// The settings and their names.
+    /// The settings, with the names of classes and tenants.
     pub site: Arc<Site>,
-    /// The connections. Some are reserved for callbacks, without which no stream would end.
+    /// The connections. Some are reserved for callbacks, because streams end only by callbacks.
     pub connections: Arc<ConnectionLimiter>,
-    /// Whether the listener is the platform's, on which the next process accepts once this one stops.
+    /// Whether the listener is inherited from the platform. The next process then accepts on it once this one
+    /// stops.
     pub inherited: bool,
     inbox: Inbox,
     fleet: FleetId,
-    /// Streams in flight.
+    /// Number of streams in flight.
     in_flight: AtomicUsize,
-    /// Bytes that bodies may still occupy.
+    /// Memory that is still available for request bodies, in bytes.
     free_body_bytes: AtomicUsize,
     metrics: Arc<Metrics>,
 }
 
 impl Front {
-    /// A front without connections.
+    /// Creates a front without connections.
     pub fn new(parameters: FrontParameters) -> Arc<Front> {
         Arc::new(Front {
             site: parameters.site,
@@ -64,7 +66,7 @@
     }
 }
 
-/// Accepts connections; on an inherited listener until the shutdown begins, else for ever.
+/// Accepts connections: until the shutdown begins if the listener is inherited, otherwise indefinitely.
 pub fn accept(front: Arc<Front>, listener: &TcpListener) {
     let connections = front.connections.clone();
     let inbox = front.inbox.clone();
--- a/dispatcher/src/wire/front/connection.rs
+++ b/dispatcher/src/wire/front/connection.rs
@@ -1,4 +1,4 @@
-//! The reading side of a client's connection: one request after another, until the client disconnects.
+//! The read side of a client connection: processes requests in sequence until the client disconnects.
 
 mod local_reply;
 mod routing;
@@ -17,20 +17,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a connection may be idle after a request, in microseconds.
+/// Maximum idle time after a request.
 const IDLE_TIMEOUT: Micros = 120 * SECOND;
-/// How long a connection that is closing waits for each further read, in microseconds.
-const CLOSING_TIMEOUT: Micros = SECOND / 2;
-/// How long a connection that is closing waits in all for the client's close, in microseconds.
-const MAX_CLOSING_TIME: Micros = 2 * SECOND;
-/// How many bytes it reads and discards meanwhile.
-const MAX_CLOSING_BYTES: usize = 8 << 20;
-/// Bytes after a stream in flight that are kept for the next requests in any case.
+/// Time limit for each read of the lingering close.
+const LINGER_READ_TIMEOUT: Micros = SECOND / 2;
+/// Total time that the lingering close waits for the client to close.
+const LINGER_TIMEOUT: Micros = 2 * SECOND;
+/// Maximum number of bytes that the lingering close reads and discards.
+const MAX_LINGER_BYTES: usize = 8 << 20;
+/// Bytes of pipelined requests that are always buffered while a stream is in flight.
 const MIN_READ_AHEAD: usize = 8 * 1024;
-/// Bytes that are kept if the memory for bodies has room for them. Further ones are discarded, and the
-/// connection closes after the requests that are kept.
+/// Bytes of pipelined requests that are buffered if the memory for bodies has room for them. Bytes beyond
+/// that are discarded, and the connection closes after the buffered requests.
 const MAX_READ_AHEAD: usize = 64 * 1024;
-/// While there are such bytes, the end of the answer is polled at this interval, in microseconds.
+/// Interval at which the result of the pending answer is polled while there are pipelined bytes.
 const ANSWER_POLL_INTERVAL: Micros = SECOND / 50;
 
 /// Serves a connection until it ends.
@@ -39,36 +39,36 @@
     loop {
         match connection.step() {
             NextStep::Continue => {}
-            NextStep::Close => return connection.close(),
+            NextStep::Close => return connection.lingering_close(),
             NextStep::End => return,
         }
     }
 }
 
-/// How a connection goes on.
+/// What a connection does next.
 enum NextStep {
-    /// With its next bytes.
+    /// Processes its next bytes.
     Continue,
-    /// The last response has been written: what the client still sends is read and discarded.
+    /// Closes after the last response; further bytes from the client are read and discarded.
     Close,
-    /// Not at all.
+    /// Ends immediately.
     End,
 }
 
-/// The reading side of a client's connection.
+/// The read side of a client connection.
 struct Connection<'a> {
     front: &'a Arc<Front>,
     peer: SocketAddr,
     socket: Socket,
     reader: Reader,
     writer: Option<Writer>,
-    /// The stream whose answer is not written yet, as far as the reader knows.
-    pending: Option<StreamId>,
-    /// Memory for what arrived after it, if that is much.
+    /// The stream whose answer has not been written yet, as far as the reader knows.
+    pending_stream: Option<StreamId>,
+    /// Memory reserved for pipelined requests beyond [`MIN_READ_AHEAD`].
     read_ahead_memory: Option<BodyMemory>,
-    /// Until it has sent a stream or a callback, it is among the first to be shed.
+    /// Set until the client has sent a stream or a callback; until then the connection is shed early.
     unidentified: Option<SheddableConnection>,
-    /// When its first valid request must be complete; none after that.
+    /// When the first valid request must have been received; `None` after that request.
     first_request_deadline: Option<Micros>,
 }
 
@@ -80,7 +80,7 @@
             peer,
             reader: Reader::new(socket.clone()),
             writer: None,
-            pending: None,
+            pending_stream: None,
             read_ahead_memory: None,
             unidentified: Some(front.connections.mark_sheddable(ShedPriority::Unidentified, &socket)),
             first_request_deadline: Some(deadline_after(FIRST_REQUEST_TIMEOUT)),
@@ -88,18 +88,18 @@
         }
     }
 
-    /// Goes on to the next bytes, answer or request.
+    /// Waits for the next bytes, checks the pending answer, or processes the next request.
     fn step(&mut self) -> NextStep {
         self.reader.skip_blank_lines();
-        if let Some(stream) = self.pending {
+        if let Some(stream) = self.pending_stream {
             let filled = self.read_ahead();
-            return self.check_answer(stream, filled);
+            return self.check_pending_answer(stream, filled);
         }
         self.read_ahead_memory = None;
         if !self.reader.is_empty() {
-            return self.take_message();
+            return self.read_and_process_message();
         }
-        if self.reader.is_sealed() {
+        if self.reader.is_discarding() {
             return NextStep::Close;
         }
         match self.wait_for_request() {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Waits for the first bytes of a request; none if the connection was shed meanwhile.
+    /// Waits for the first bytes of a request. Returns `None` if the connection was shed in the meantime.
     fn wait_for_request(&mut self) -> Option<Result<bool, HttpError>> {
         if self.unidentified.is_some() {
             let deadline = self.first_request_deadline.unwrap_or_else(|| deadline_after(IDLE_TIMEOUT));
@@ -120,13 +120,14 @@
         sheddable.reclaim().then_some(filled)
     }
 
-    /// Reads what follows a stream in flight. It always reads, to notice when the client disconnects.
+    /// Reads pipelined requests while a stream is in flight. It always reads, to detect that the client has
+    /// disconnected.
     fn read_ahead(&mut self) -> Result<bool, HttpError> {
         let unparsed = self.reader.unparsed().len();
-        self.note_pipelined_bytes(unparsed > 0);
+        self.set_has_pipelined_bytes(unparsed > 0);
         if unparsed == 0 {
             let filled = self.reader.fill(deadline_after(IDLE_TIMEOUT));
-            self.note_pipelined_bytes(!self.reader.is_empty());
+            self.set_has_pipelined_bytes(!self.reader.is_empty());
             return filled;
         }
         if unparsed >= MIN_READ_AHEAD && self.read_ahead_memory.is_none() {
@@ -134,19 +135,19 @@
         }
         let max_unparsed = if self.read_ahead_memory.is_some() { MAX_READ_AHEAD } else { MIN_READ_AHEAD };
         if unparsed >= max_unparsed {
-            self.reader.seal();
+            self.reader.start_discarding();
         }
         self.reader.fill(deadline_after(ANSWER_POLL_INTERVAL))
     }
 
-    fn note_pipelined_bytes(&self, has_pipelined_bytes: bool) {
+    fn set_has_pipelined_bytes(&self, has_pipelined_bytes: bool) {
         if let Some(writer) = &self.writer {
             writer.exchange().has_pipelined_bytes = has_pipelined_bytes;
         }
     }
 
-    /// Checks whether the answer of the stream in flight has been written, or its client has disconnected.
-    fn check_answer(&mut self, stream: StreamId, filled: Result<bool, HttpError>) -> NextStep {
+    /// Checks whether the answer of the stream in flight has been written, or the client has disconnected.
+    fn check_pending_answer(&mut self, stream: StreamId, filled: Result<bool, HttpError>) -> NextStep {
         let Some(writer) = &self.writer else { return NextStep::End };
         let is_connected = matches!(filled, Ok(true) | Err(HttpError::TimedOut));
         let result = match writer.results.try_recv() {
@@ -160,19 +161,18 @@
         };
         let is_kept = writer.exchange().sheddable.take().is_none_or(SheddableConnection::reclaim);
         match result {
-            WriteResult::KeptOpen if is_kept => self.pending = None,
+            WriteResult::KeepAlive if is_kept => self.pending_stream = None,
             WriteResult::Failed => return NextStep::End,
-            // What follows the last answer is not processed: its client would get no response.
-            WriteResult::KeptOpen | WriteResult::Closing => return NextStep::Close,
+            // Requests after the last answer are not processed, because the client would get no response.
+            WriteResult::KeepAlive | WriteResult::Closing => return NextStep::Close,
         }
         if is_connected { NextStep::Continue } else { NextStep::End }
     }
 
-    /// Reads a complete message and processes it.
-    fn take_message(&mut self) -> NextStep {
+    fn read_and_process_message(&mut self) -> NextStep {
         let deadline = match (self.first_request_deadline, self.reader.first_byte_at()) {
             (Some(deadline), _) => deadline,
-            (None, Some(began)) => began + REQUEST_READ_TIMEOUT,
+            (None, Some(first_byte_at)) => first_byte_at + REQUEST_READ_TIMEOUT,
             (None, None) => deadline_after(REQUEST_READ_TIMEOUT),
         };
         let head = self.reader.read_request_head(deadline);
@@ -188,16 +188,17 @@
         }
     }
 
-    /// Lets the last response arrive: closing with unread bytes would reset the connection before that.
-    fn close(&mut self) {
+    /// Closes the write side, and then reads and discards what the client still sends. Closing with unread
+    /// bytes would reset the connection before the last response has arrived.
+    fn lingering_close(&mut self) {
         let _sheddable = self.front.connections.mark_sheddable(ShedPriority::Closing, &self.socket);
         self.socket.shut_down_writes();
-        let deadline = deadline_after(MAX_CLOSING_TIME);
-        let mut left = MAX_CLOSING_BYTES;
-        while left > 0
-            && self.reader.discard_and_fill(deadline_after(CLOSING_TIMEOUT).min(deadline)) == Ok(true)
+        let deadline = deadline_after(LINGER_TIMEOUT);
+        let mut remaining_bytes = MAX_LINGER_BYTES;
+        while remaining_bytes > 0
+            && self.reader.discard_and_fill(deadline_after(LINGER_READ_TIMEOUT).min(deadline)) == Ok(true)
         {
-            left = left.saturating_sub(self.reader.unparsed().len());
+            remaining_bytes = remaining_bytes.saturating_sub(self.reader.unparsed().len());
         }
     }
 }
--- a/dispatcher/src/wire/front/connection/local_reply.rs
+++ b/dispatcher/src/wire/front/connection/local_reply.rs
@@ -1,20 +1,20 @@
-//! Local replies: responses that this process makes itself.
+//! Local replies: responses that this process generates instead of forwarding a request.
 
 use super::{Connection, NextStep};
 use crate::wire::http::{HttpError, Response, deadline_after, write_response};
 use roselock::{Micros, SECOND};
 
-/// How long writing a local reply may take, in microseconds.
+/// Time limit for writing a local reply.
 const WRITE_TIMEOUT: Micros = SECOND / 2;
-/// Bytes of an invalid request that are logged.
+/// Maximum number of bytes of an invalid request that are logged.
 const LOGGED_BYTES: usize = 160;
 /// The status of the response to a valid callback.
 pub(super) const CALLBACK_ACCEPTED: u16 = 204;
 
-/// A response that this process makes itself.
+/// A response that this process generates itself.
 pub(super) struct LocalReply {
     pub(super) status: u16,
-    /// Further headers, each with the end of its line.
+    /// Additional headers, each terminated by CRLF.
     pub(super) headers: &'static str,
     pub(super) body: &'static str,
 }
@@ -25,20 +25,20 @@
         LocalReply { status, headers: retry_after(status), body: "" }
     }
 
-    /// A reply to a method that the path does not allow; `allow` is the header that names the one that it
-    /// does.
+    /// A reply to a method that the path does not allow. `allow` is the `Allow` header with the allowed
+    /// method.
     pub(super) fn method_not_allowed(allow: &'static str) -> LocalReply {
         LocalReply { status: 405, headers: allow, body: "" }
     }
 }
 
 impl Connection<'_> {
-    /// Writes a local reply, and closes the connection where it must not be kept.
+    /// Writes a local reply, and closes the connection if it must not be kept open.
     pub(super) fn reply(&mut self, reply: &LocalReply, close_requested: bool) -> NextStep {
         let LocalReply { status, headers, body } = *reply;
-        // A client whose first request is invalid is not kept.
+        // The connection of a client whose first request is invalid is closed.
         let is_invalid_first = self.first_request_deadline.is_some() && (400..500).contains(&status);
-        // A further request that has been read is owed a response, too.
+        // A pipelined request that has been read must also get a response.
         let is_shutting_down = self.front.inbox.is_closing_connections() && self.reader.is_empty();
         let close = close_requested || is_invalid_first || is_shutting_down;
         let response = Response { status, headers, body: body.as_bytes(), close };
@@ -61,7 +61,7 @@
             HttpError::Closed | HttpError::ConnectionLost => {
                 let is_partial = !self.reader.is_empty();
                 tracing::debug!(peer = %self.peer, is_partial, reason = %error, "client connection ended");
-                return if self.reader.is_sealed() { NextStep::Close } else { NextStep::End };
+                return if self.reader.is_discarding() { NextStep::Close } else { NextStep::End };
             }
         };
         self.log_rejected(status, error);
@@ -86,7 +86,7 @@
     }
 }
 
-/// The header that tells when a request may be sent again, for a status that means so.
+/// The `Retry-After` header of a response with this status, if it has one.
 fn retry_after(status: u16) -> &'static str {
     if status == 503 { "Retry-After: 1\r\n" } else { "" }
 }
--- a/dispatcher/src/wire/front/connection/routing.rs
+++ b/dispatcher/src/wire/front/connection/routing.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: a stream, a callback or a local reply.
+//! Routes requests: submits streams, posts callbacks and generates local replies.
 
 use super::local_reply::{CALLBACK_ACCEPTED, LocalReply};
 use super::{Connection, NextStep};
@@ -11,16 +11,16 @@
 use crate::wire::http::Message;
 use roselock_admin::metrics::JobResult;
 
-/// The path that tells whether the process is ready.
+/// The path of the readiness check.
 const READY_PATH: &str = "/health/ready";
 
-/// What becomes of a request.
-enum Routed {
-    /// It is a stream with this number.
+/// The result of routing a request.
+enum RouteResult {
+    /// The request was submitted as the stream with this id.
     InFlight(StreamId),
-    /// The connection was shed just now.
+    /// The connection was shed before the request was submitted.
     Shed,
-    /// It gets a local reply.
+    /// The request gets a local reply.
     Reply(LocalReply),
 }
 
@@ -29,58 +29,58 @@
     pub(super) fn process(&mut self, message: Message, memory: BodyMemory) -> NextStep {
         let close_requested = message.close;
         match self.route(message, memory) {
-            Routed::InFlight(stream) => {
-                self.pending = Some(stream);
+            RouteResult::InFlight(stream) => {
+                self.pending_stream = Some(stream);
                 self.first_request_deadline = None;
                 NextStep::Continue
             }
-            Routed::Shed => NextStep::Close,
-            Routed::Reply(reply) => self.reply(&reply, close_requested),
+            RouteResult::Shed => NextStep::Close,
+            RouteResult::Reply(reply) => self.reply(&reply, close_requested),
         }
     }
 
-    fn route(&mut self, message: Message, memory: BodyMemory) -> Routed {
+    fn route(&mut self, message: Message, memory: BodyMemory) -> RouteResult {
         let method = message.text(&message.method);
         let target = message.text(&message.target);
         let path = target.split('?').next().unwrap_or("");
         match (method, path) {
-            ("POST", callbacks::PATH) => self.take_callback(&message),
-            ("GET", READY_PATH) => self.readiness(),
+            ("POST", callbacks::PATH) => self.handle_callback(&message),
+            ("GET", READY_PATH) => self.handle_readiness(),
             ("POST", _) => self.submit(message, memory),
-            (_, callbacks::PATH) => Routed::Reply(LocalReply::method_not_allowed("Allow: POST\r\n")),
-            (_, READY_PATH) => Routed::Reply(LocalReply::method_not_allowed("Allow: GET\r\n")),
-            _ => Routed::Reply(LocalReply::new(404)),
+            (_, callbacks::PATH) => RouteResult::Reply(LocalReply::method_not_allowed("Allow: POST\r\n")),
+            (_, READY_PATH) => RouteResult::Reply(LocalReply::method_not_allowed("Allow: GET\r\n")),
+            _ => RouteResult::Reply(LocalReply::new(404)),
         }
     }
 
-    fn take_callback(&self, message: &Message) -> Routed {
+    fn handle_callback(&self, message: &Message) -> RouteResult {
         let Front { site, inbox, inherited, .. } = &**self.front;
         let is_valid = callbacks::post(message.body(), site, inbox, *inherited);
         let status = if is_valid { CALLBACK_ACCEPTED } else { 400 };
-        Routed::Reply(LocalReply::new(status))
+        RouteResult::Reply(LocalReply::new(status))
     }
 
-    fn readiness(&self) -> Routed {
+    fn handle_readiness(&self) -> RouteResult {
         let inbox = &self.front.inbox;
         let is_ready = inbox.has_ready_host() && inbox.shutdown_requested_at().is_none();
         let status = if is_ready { 200 } else { 503 };
-        Routed::Reply(LocalReply { status, headers: "", body: self.front.metrics.stage().description() })
+        RouteResult::Reply(LocalReply { status, headers: "", body: self.front.metrics.stage().description() })
     }
 
     /// Submits the stream of a request to the owner thread.
-    fn submit(&mut self, message: Message, memory: BodyMemory) -> Routed {
+    fn submit(&mut self, message: Message, memory: BodyMemory) -> RouteResult {
         let front = self.front;
         let close_requested = message.close;
         let Some(new) = parse_stream(front, message, self.peer) else {
-            return Routed::Reply(LocalReply::new(400));
+            return RouteResult::Reply(LocalReply::new(400));
         };
         let class = new.class.0 as usize;
         let Some(in_flight) = InFlightStream::admit(front, memory) else {
             return self.defer(class);
         };
-        // The client of a request that is forwarded must stay for the answer.
+        // The connection of a forwarded request must stay open for the answer.
         if self.unidentified.take().is_some_and(|sheddable| !sheddable.reclaim()) {
-            return Routed::Shed;
+            return RouteResult::Shed;
         }
         let writer = self.writer.get_or_insert_with(|| Writer::start(front, &self.socket));
         writer.exchange().in_flight = Some(in_flight);
@@ -88,16 +88,16 @@
         let id = front.inbox.stream_id();
         let new = NewStream { id, downstream: writer.downstream(&front.inbox), ..new };
         if !front.inbox.submit(Box::new(new)) {
-            // The process is ending, and this stream came just too late.
+            // The process is exiting and accepts no more streams.
             writer.exchange().in_flight = None;
             return self.defer(class);
         }
-        Routed::InFlight(id)
+        RouteResult::InFlight(id)
     }
 
-    /// Rejects a request that the client may send again.
-    fn defer(&self, class: usize) -> Routed {
+    /// Rejects a request with a status that lets the client send it again.
+    fn defer(&self, class: usize) -> RouteResult {
         self.front.metrics.job_ended(class, JobResult::Deferred, false);
-        Routed::Reply(LocalReply::new(503))
+        RouteResult::Reply(LocalReply::new(503))
     }
 }
--- a/dispatcher/src/wire/front/request.rs
+++ b/dispatcher/src/wire/front/request.rs
@@ -1,4 +1,4 @@
-//! The stream that a client's request asks for.
+//! Parses the stream that a client request submits.
 
 use super::Front;
 use crate::core::{Answer, Downstream, NewStream, Payload};
@@ -8,42 +8,42 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest time budget of a request, in seconds; a longer one is reduced to this.
-const MAX_BUDGET: f64 = 3600.0;
-/// Headers with a single value: a request with two different ones is invalid.
+/// Maximum time budget of a request, in seconds; a larger one is reduced to this.
+const MAX_BUDGET_S: f64 = 3600.0;
+/// Headers with a single value. A request with different values for one of them is invalid.
 const SINGLE_VALUE_HEADERS: [&str; 5] =
     ["x-call-id", "x-call-class", "x-caller", "x-budget", "idempotency-key"];
 
-/// A placeholder until the stream's own downstream is known.
-struct NoDownstream;
+/// Placeholder until the downstream of the stream is set.
+struct PlaceholderDownstream;
 
-impl Downstream for NoDownstream {
+impl Downstream for PlaceholderDownstream {
     fn answer(&self, _: Answer, _: u32) {}
 }
 
-/// A figure of `X-Call-Info`, which is `name=value,name=value`. None if it is missing, negative or not
-/// finite.
-fn parse_figure(info: &str, name: &str) -> Option<f64> {
+/// A value of `X-Call-Info`, whose format is `name=value,name=value`. `None` if the value is missing,
+/// negative or not finite.
+fn parse_call_info_value(info: &str, name: &str) -> Option<f64> {
     let pairs = info.split(',').filter_map(|pair| pair.split_once('='));
     let values = pairs.filter(|(key, _)| key.trim() == name).map(|(_, value)| value);
-    let mut figures = values.filter_map(|value| value.trim().parse::<f64>().ok());
-    figures.find(|figure| figure.is_finite() && *figure >= 0.0)
+    let mut numbers = values.filter_map(|value| value.trim().parse::<f64>().ok());
+    numbers.find(|number| number.is_finite() && *number >= 0.0)
 }
 
-/// The work hint in seconds, from `X-Call-Cost`, which is in microseconds.
+/// The work hint in seconds, parsed from `X-Call-Cost`, which is in microseconds.
 fn parse_work_hint(cost: &str) -> Option<f64> {
     let microseconds = cost.parse::<f64>().ok()?;
     Some(microseconds / SECOND as f64)
 }
 
-/// The time budget in seconds.
+/// The time budget of a request, in seconds.
 fn parse_budget(message: &Message) -> Option<f64> {
     let budget: f64 = message.header_value("x-budget")?.parse().ok()?;
     (budget.is_finite() && budget >= 0.0).then_some(budget)
 }
 
-/// The key of what a request concerns: the last segment of its path, after the first one, which names the
-/// service.
+/// The key of a request: the last segment of its path. The first segment names the service and is never the
+/// key.
 fn parse_key(message: &Message) -> Option<KeyId> {
     let path = message.text(&message.target).split('?').next().unwrap_or("");
     let (_service, rest) = path.trim_start_matches('/').split_once('/')?;
@@ -51,7 +51,7 @@
     (!key.is_empty()).then(|| KeyId(fnv(key.as_bytes())))
 }
 
-/// The stream of a request; none if a required part is missing or invalid.
+/// The stream of a request; `None` if a required part is missing or invalid.
 pub(super) fn parse_stream(front: &Front, message: Message, peer: SocketAddr) -> Option<NewStream> {
     if SINGLE_VALUE_HEADERS.iter().any(|name| message.has_conflicting_values(name)) {
         return None;
@@ -67,13 +67,13 @@
         class: ClassId(class as u16),
         tenant: tenant.map(|index| TenantId(index as u16)),
         key: parse_key(&message),
-        slots: parse_figure(info, "slots").unwrap_or(1.0),
-        memory: parse_figure(info, "memory").unwrap_or(0.0),
+        slots: parse_call_info_value(info, "slots").unwrap_or(1.0),
+        memory: parse_call_info_value(info, "memory").unwrap_or(0.0),
         hint: message.header_value("x-call-cost").and_then(parse_work_hint),
         prior_attempts: 0,
-        deadline: message.received_at + (budget.min(MAX_BUDGET) * SECOND as f64) as Micros,
+        deadline: message.received_at + (budget.min(MAX_BUDGET_S) * SECOND as f64) as Micros,
         peer,
-        downstream: Box::new(NoDownstream),
+        downstream: Box::new(PlaceholderDownstream),
         payload: Arc::new(Payload {
             idempotency_key: message.header_range("idempotency-key").unwrap_or_default(),
             id,
--- a/dispatcher/src/wire/front/reservations.rs
+++ b/dispatcher/src/wire/front/reservations.rs
@@ -1,22 +1,22 @@
-//! What requests occupy of the process while they are read or in flight: memory for bodies, and connections.
+//! Resources that requests reserve while they are read or in flight: memory for bodies, and connections.
 
 use super::Front;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Connections that are reserved for callbacks.
+/// Number of connections that are reserved for callbacks.
 const CALLBACK_CONNECTIONS: usize = 96;
-/// At most one part in this many of all connections is reserved for callbacks.
+/// At most this fraction (1/N) of all connections is reserved for callbacks.
 const CALLBACK_RESERVE_DIVISOR: usize = 4;
 
-/// Memory for the bytes of a message beyond the first few, until this is dropped.
+/// Reserved memory for the part of a message beyond one read; released on drop.
 pub(super) struct BodyMemory {
     front: Arc<Front>,
     bytes: usize,
 }
 
 impl BodyMemory {
-    /// Reserves memory; none if there is not enough left.
+    /// Reserves memory. Returns `None` if there is not enough left.
     pub(super) fn reserve(front: &Arc<Front>, bytes: usize) -> Option<BodyMemory> {
         let subtract = |free: usize| free.checked_sub(bytes);
         let reserved = front.free_body_bytes.fetch_update(Ordering::SeqCst, Ordering::SeqCst, subtract);
@@ -30,16 +30,16 @@
     }
 }
 
-/// A stream in flight, which occupies a connection until its answer is written, with the memory for its body.
+/// A stream in flight. It occupies a connection, and the memory for its body, until its answer is written.
 pub(super) struct InFlightStream {
     front: Arc<Front>,
     _memory: BodyMemory,
 }
 
 impl InFlightStream {
-    /// None if so many are in flight that callbacks might find no connection.
+    /// Admits a stream. Returns `None` if it would use a connection that is reserved for callbacks.
     pub(super) fn admit(front: &Arc<Front>, memory: BodyMemory) -> Option<InFlightStream> {
-        // Counted before the check, and by its drop no more if it is not admitted.
+        // The stream is counted before the check. If it is not admitted, dropping it decrements the count.
         let stream = InFlightStream { front: front.clone(), _memory: memory };
         let others = front.in_flight.fetch_add(1, Ordering::SeqCst);
         let max_connections = front.connections.max_connections;
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -1,4 +1,4 @@
-//! The writing side of a client's connection: one answer after another.
+//! The write side of a client connection: writes answers in sequence.
 
 use super::Front;
 use super::reservations::InFlightStream;
@@ -12,10 +12,10 @@
 use std::io;
 use std::sync::Arc;
 
-/// How long writing an answer may take, in microseconds.
+/// Time limit for writing an answer.
 const WRITE_TIMEOUT: Micros = 10 * SECOND;
 
-/// Passes answers on to the writer of a connection.
+/// Sends answers to the writer of a connection.
 struct AnswerSender {
     inbox: Inbox,
     answers: Sender<Answer>,
@@ -30,35 +30,36 @@
     }
 }
 
-/// The writer of a connection, started with its first stream.
+/// The writer of a connection, which is started with the first stream.
 pub(super) struct Writer {
     answers: Sender<Answer>,
-    /// The result of each answer.
+    /// The result of writing each answer.
     pub(super) results: Receiver<WriteResult>,
-    exchange: Arc<Mutex<Exchange>>,
+    exchange: Arc<Mutex<ExchangeState>>,
 }
 
 /// The result of writing an answer.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteResult {
-    /// Written; the connection stays open for the next stream.
-    KeptOpen,
-    /// Written; it was the last answer, and what follows it is not processed.
+    /// The answer was written, and the connection stays open for the next stream.
+    KeepAlive,
+    /// The last answer was written; later requests on the connection are not processed.
     Closing,
-    /// It could not be written.
+    /// The answer could not be written.
     Failed,
 }
 
-/// The exchange on a connection, which its reader and its writer share. A client waits while its stream is in
-/// flight. After the answer its next request may be a long time in coming, so the connection may be shed,
-/// which the reader only learns when more arrives.
+/// State of a connection that its reader and its writer share. The connection may be shed after the answer,
+/// because the next request may take a long time to arrive; the reader notices this only when further bytes
+/// arrive. While a stream is in flight, its client waits, so the connection is kept.
 #[derive(Default)]
-pub(super) struct Exchange {
-    /// The stream whose answer is not written yet.
+pub(super) struct ExchangeState {
+    /// The stream whose answer has not been written yet.
     pub(super) in_flight: Option<InFlightStream>,
-    /// The client wants the connection to close after this answer.
+    /// Whether the client requested that the connection closes after this answer.
     pub(super) close_requested: bool,
-    /// A part of the next request has been read: it is owed an answer, so the connection is kept.
+    /// Whether a part of the next request has been read. That request must get an answer, so the connection
+    /// is kept.
     pub(super) has_pipelined_bytes: bool,
     /// Set while the connection may be shed.
     pub(super) sheddable: Option<SheddableConnection>,
@@ -69,14 +70,14 @@
     pub(super) fn start(front: &Arc<Front>, socket: &Socket) -> Writer {
         let (answers, pending_answers) = channel::<Answer>();
         let (result_sender, results) = channel();
-        let exchange = Arc::<Mutex<Exchange>>::default();
+        let exchange = Arc::<Mutex<ExchangeState>>::default();
         let writer = Writer { answers, results, exchange: exchange.clone() };
         let front = front.clone();
         let socket = socket.clone();
         may::go!(move || {
             while let Ok(answer) = pending_answers.recv() {
                 let result = process_answer(&front, &socket, &exchange, &answer);
-                // From here on the process may end, which closes the connection in an orderly way.
+                // The process may exit from here on; its exit closes the connection gracefully.
                 front.inbox.response_written();
                 if result_sender.send(result).is_err() {
                     break;
@@ -86,48 +87,48 @@
         writer
     }
 
-    /// What the reader and the writer share.
-    pub(super) fn exchange(&self) -> MutexGuard<'_, Exchange> {
+    /// The state that the reader and the writer share.
+    pub(super) fn exchange(&self) -> MutexGuard<'_, ExchangeState> {
         self.exchange.lock()
     }
 
-    /// Where the answer of a stream goes.
+    /// The downstream that receives the answer of a stream.
     pub(super) fn downstream(&self, inbox: &Inbox) -> Box<dyn Downstream> {
         Box::new(AnswerSender { inbox: inbox.clone(), answers: self.answers.clone() })
     }
 }
 
-/// Writes an answer, closes the connection if it was the last one, and marks it as sheddable unless it is
-/// needed.
+/// Writes an answer, closes the connection if it was the last one, and marks the connection as sheddable
+/// unless it is needed for a pipelined request.
 fn process_answer(
     front: &Arc<Front>,
     socket: &Socket,
-    shared: &Mutex<Exchange>,
+    shared: &Mutex<ExchangeState>,
     answer: &Answer,
 ) -> WriteResult {
     let must_close = must_close(front, &shared.lock(), answer);
     let result = match write_answer(socket, answer, must_close) {
         Ok(()) if must_close => WriteResult::Closing,
-        Ok(()) => WriteResult::KeptOpen,
+        Ok(()) => WriteResult::KeepAlive,
         Err(_) => WriteResult::Failed,
     };
     match result {
-        WriteResult::KeptOpen => {}
+        WriteResult::KeepAlive => {}
         WriteResult::Closing => socket.shut_down_writes(),
         WriteResult::Failed => socket.close(),
     }
     let mut exchange = shared.lock();
-    // A request that has been read is owed an answer: its connection must not be shed.
-    let is_needed = result == WriteResult::KeptOpen && exchange.has_pipelined_bytes;
+    // A request that has been read must get an answer, so its connection must not be shed.
+    let is_needed = result == WriteResult::KeepAlive && exchange.has_pipelined_bytes;
     let priority = if must_close { ShedPriority::Closing } else { ShedPriority::Idle };
     let sheddable = (!is_needed).then(|| front.connections.mark_sheddable(priority, socket));
-    *exchange = Exchange { sheddable, ..Exchange::default() };
+    *exchange = ExchangeState { sheddable, ..ExchangeState::default() };
     result
 }
 
 /// Whether the connection closes after this answer.
-fn must_close(front: &Front, exchange: &Exchange, answer: &Answer) -> bool {
-    // A client that reuses the id of another's stream is not kept.
+fn must_close(front: &Front, exchange: &ExchangeState, answer: &Answer) -> bool {
+    // The connection of a client that reuses the id of another client's stream is closed.
     let is_conflict = *answer == Answer::Conflict;
     let is_shutting_down = front.inbox.is_closing_connections() && !exchange.has_pipelined_bytes;
     is_conflict || exchange.close_requested || is_shutting_down
--- a/dispatcher/src/wire/http.rs
+++ b/dispatcher/src/wire/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1: heads are parsed in place in the buffer they were read into; bodies are framed by length or in
-//! chunks.
+//! HTTP/1.1 messages. Heads are parsed in place in the read buffer; bodies are framed by `Content-Length` or
+//! chunked.
 
 mod chunked;
 mod error;
@@ -19,12 +19,12 @@
 use crate::core::clock;
 use roselock::Micros;
 
-/// Longest body of a request or response, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
-/// Longest head, in bytes; also the longest trailer section.
-const MAX_HEAD: usize = 8 * 1024;
+/// Maximum size of a request or response body, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a head, and of a trailer section, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// The deadline that lies this far ahead, in microseconds.
-pub fn deadline_after(span: Micros) -> Micros {
-    clock::now() + span
+/// The deadline `timeout` from now.
+pub fn deadline_after(timeout: Micros) -> Micros {
+    clock::now() + timeout
 }
--- a/dispatcher/src/wire/http/chunked.rs
+++ b/dispatcher/src/wire/http/chunked.rs
@@ -1,15 +1,15 @@
 //! Chunked transfer coding (RFC 9112, 7.1).
 
 use super::read_buffer::ReadBuffer;
-use super::{HttpError, MAX_HEAD};
+use super::{HttpError, MAX_HEAD_BYTES};
 use roselock::Micros;
 
-/// Longest line before a chunk, in bytes.
-const MAX_CHUNK_LINE: usize = 256;
-/// The end of a line.
+/// Maximum length of the line with the chunk size, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 const CRLF: &[u8] = b"\r\n";
 
-/// Appends the bytes of the next chunk, of which there may be at most `max_size`; false after the last chunk.
+/// Appends the data of the next chunk, at most `max_size` bytes, to `into`. Returns false after the last
+/// chunk.
 pub(super) fn read_chunk(
     buffer: &mut ReadBuffer,
     into: &mut Vec<u8>,
@@ -28,7 +28,7 @@
                 read_chunk_data(buffer, start, size, into, deadline)?;
                 return Ok(size > 0);
             }
-            Ok(httparse::Status::Partial) if buffer.bytes().len() <= MAX_CHUNK_LINE => {
+            Ok(httparse::Status::Partial) if buffer.bytes().len() <= MAX_CHUNK_LINE_BYTES => {
                 buffer.fill_more(deadline)?;
             }
             _ => return Err(HttpError::Status(400)),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Appends a chunk that lies at `start`, and removes it with the end of its line.
+/// Appends the data of a chunk that begins at `start`, and removes the chunk with its terminating CRLF.
 fn read_chunk_data(
     buffer: &mut ReadBuffer,
     start: usize,
@@ -55,8 +55,8 @@
     Ok(())
 }
 
-/// Skips the trailer section (RFC 9112, 7.1.2) after the last chunk, from `start` up to its empty line.
-/// Trailers are not kept.
+/// Skips the trailer section (RFC 9112, 7.1.2) after the last chunk, from `start` through its empty line.
+/// Trailers are discarded.
 fn skip_trailers(buffer: &mut ReadBuffer, start: usize, deadline: Micros) -> Result<(), HttpError> {
     loop {
         let rest = &buffer.bytes()[start.min(buffer.bytes().len())..];
@@ -64,14 +64,14 @@
             buffer.advance(start + length);
             return Ok(());
         }
-        if rest.len() > MAX_HEAD {
+        if rest.len() > MAX_HEAD_BYTES {
             return Err(HttpError::Status(431));
         }
         buffer.fill_more(deadline)?;
     }
 }
 
-/// The length of a trailer section with its empty line; none if that has not come yet.
+/// The length of a trailer section including its empty line; `None` if that line has not been received yet.
 fn trailer_section_length(bytes: &[u8]) -> Option<usize> {
     if bytes.starts_with(CRLF) {
         return Some(CRLF.len());
--- a/dispatcher/src/wire/http/error.rs
+++ b/dispatcher/src/wire/http/error.rs
@@ -1,8 +1,8 @@
-//! Why a message was not received.
+//! Errors while receiving a message.
 
 use thiserror::Error;
 
-/// Why a message was not received.
+/// The reason why a message was not received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// The connection was closed between messages.
@@ -14,7 +14,7 @@
     /// The deadline passed.
     #[error("timed out")]
     TimedOut,
-    /// The message is invalid, or cannot be accepted: the status to respond with.
+    /// The message is invalid or cannot be accepted; holds the status to respond with.
     #[error("status {0}")]
     Status(u16),
 }
--- a/dispatcher/src/wire/http/head.rs
+++ b/dispatcher/src/wire/http/head.rs
@@ -1,21 +1,21 @@
-//! Heads of requests and responses, parsed in place.
+//! Parses the heads of requests and responses in place.
 
 use super::HttpError;
 use super::message::{Header, Message};
 use std::ops::Range;
 
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
 
-/// A message whose body has not been read.
+/// The parsed head of a message whose body has not been read yet.
 pub struct Head {
     /// The message, without its buffer and body.
     pub message: Message,
-    /// Where the head ends in the buffer.
+    /// The end offset of the head in the buffer.
     pub(super) end: usize,
 }
 
-/// A head; none if it is not complete yet.
+/// The result of parsing a head; `None` if the head is incomplete.
 pub(super) type ParsedHead = Result<Option<Head>, HttpError>;
 
 pub(super) fn parse_request(buffer: &[u8]) -> ParsedHead {
@@ -49,7 +49,7 @@
     Ok(Some(Head { message, end }))
 }
 
-/// The range of a part of a buffer.
+/// The range in `buffer` of `part`, which is a slice of it.
 fn range_in(buffer: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).saturating_sub(buffer.as_ptr() as usize);
     start..start + part.len()
--- a/dispatcher/src/wire/http/load_report.rs
+++ b/dispatcher/src/wire/http/load_report.rs
@@ -2,7 +2,7 @@
 
 use roselock::settings::WorkerReport;
 
-/// Parses a load report: JSON, or `TEXT name=value, name=value` with or without its first word. None if it is
+/// Parses a load report: JSON, or `TEXT name=value, name=value`, where `TEXT` is optional. Returns `None` for
 /// invalid JSON.
 pub fn parse_load_report(text: &str) -> Option<WorkerReport> {
     let text = text.trim();
--- a/dispatcher/src/wire/http/message.rs
+++ b/dispatcher/src/wire/http/message.rs
@@ -1,56 +1,56 @@
-//! A message, and the framing of its body as its headers state it.
+//! A message, and the framing of its body according to its headers.
 
-use super::MAX_BODY;
+use super::MAX_BODY_BYTES;
 use super::read_buffer::READ_SIZE;
 use roselock::Micros;
 use std::ops::Range;
 
-/// A message: one buffer, and the ranges of its parts in that buffer.
+/// A message: a buffer, and the ranges of the message parts in it.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// The whole message.
+    /// The buffer, which holds the head and the body.
     pub raw: Vec<u8>,
-    /// The method, of a request.
+    /// The method of a request.
     pub method: Range<usize>,
-    /// Path and query, of a request.
+    /// The path and query of a request.
     pub target: Range<usize>,
-    /// The status, of a response.
+    /// The status of a response.
     pub status: u16,
-    /// The body.
+    /// The range of the body.
     pub body: Range<usize>,
-    /// The connection closes after this message.
+    /// Whether the connection closes after this message.
     pub close: bool,
-    /// When its last byte was read.
+    /// When the last byte of the message was read.
     pub received_at: Micros,
     pub(super) headers: Vec<Header>,
     pub(super) framing: Framing,
 }
 
-/// The ranges of a header.
+/// The ranges of the name and value of a header.
 #[derive(Debug)]
 pub(super) struct Header {
     pub(super) name: Range<usize>,
     pub(super) value: Range<usize>,
 }
 
-/// How the body is framed, and what else the headers say of the connection.
+/// The framing of the body, and the connection options in the headers.
 #[derive(Debug, Default)]
 pub(super) struct Framing {
-    /// The value of `Content-Length`, in bytes.
+    /// The value of `Content-Length`.
     pub(super) content_length: Option<usize>,
-    /// The body comes in chunks.
+    /// Whether the body uses the chunked transfer coding.
     pub(super) is_chunked: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
-    /// `Connection: close`.
+    /// Whether `Connection: close` is set.
     close: bool,
-    /// Two `Content-Length` headers differ.
+    /// Whether two `Content-Length` headers differ.
     has_conflicting_lengths: bool,
 }
 
 impl Framing {
-    /// Takes one header into account; an error is the status to respond with.
-    fn add(&mut self, name: &str, value: &str) -> Result<(), u16> {
+    /// Evaluates one header. The error is the status to respond with.
+    fn add_header(&mut self, name: &str, value: &str) -> Result<(), u16> {
         if name.eq_ignore_ascii_case("content-length") {
             self.add_content_length(value)?;
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
@@ -76,7 +76,8 @@
         Ok(())
     }
 
-    /// Whether the headers contradict each other, or announce more than may come.
+    /// Fails if the headers contradict each other, or announce a body above the limit. The error is the
+    /// status to respond with.
     fn check(&self, max_body: usize) -> Result<(), u16> {
         if self.has_conflicting_lengths || (self.is_chunked && self.content_length.is_some()) {
             return Err(400);
@@ -85,13 +86,13 @@
     }
 }
 
-/// A part of a buffer as text; heads are ASCII where it matters. Empty if it is not UTF-8.
+/// A part of a buffer as text; empty if it is not UTF-8. The parts of a head that are evaluated are ASCII.
 fn text_in<'a>(raw: &'a [u8], part: &Range<usize>) -> &'a str {
     std::str::from_utf8(&raw[part.clone()]).unwrap_or("")
 }
 
 impl Message {
-    /// A part as text. Empty if it is not UTF-8.
+    /// A part of the message as text; empty if it is not UTF-8.
     pub fn text(&self, part: &Range<usize>) -> &str {
         text_in(&self.raw, part)
     }
@@ -114,15 +115,15 @@
         values.next().is_some_and(|first| values.any(|other| other != first))
     }
 
-    /// The most bytes that its body may occupy beyond one read.
+    /// Upper bound of the memory that the body occupies beyond one read, in bytes.
     pub fn max_body_beyond_read(&self) -> usize {
         if self.framing.is_chunked {
-            return MAX_BODY;
+            return MAX_BODY_BYTES;
         }
         self.framing.content_length.unwrap_or(0).saturating_sub(READ_SIZE)
     }
 
-    /// The body.
+    /// The bytes of the body.
     pub fn body(&self) -> &[u8] {
         &self.raw[self.body.clone()]
     }
@@ -131,12 +132,12 @@
         self.text(&header.name).eq_ignore_ascii_case(name)
     }
 
-    /// Reads the framing from the headers. The buffer of the head is `raw`, which the message does not own
-    /// yet. An error is the status to respond with.
+    /// Parses the framing from the headers. `raw` is the buffer of the head, which the message does not own
+    /// yet. The error is the status to respond with.
     pub(super) fn parse_framing(&mut self, raw: &[u8], max_body: usize) -> Result<(), u16> {
         let mut framing = Framing::default();
         for header in &self.headers {
-            framing.add(text_in(raw, &header.name), text_in(raw, &header.value).trim())?;
+            framing.add_header(text_in(raw, &header.name), text_in(raw, &header.value).trim())?;
         }
         framing.check(max_body)?;
         self.close |= framing.close;
--- a/dispatcher/src/wire/http/read_buffer.rs
+++ b/dispatcher/src/wire/http/read_buffer.rs
@@ -1,4 +1,4 @@
-//! The bytes that were read from a connection and not parsed yet.
+//! A buffer of bytes that were read from a connection and are not parsed yet.
 
 use super::HttpError;
 use crate::core::clock;
@@ -8,24 +8,24 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 pub(super) const READ_SIZE: usize = 4096;
-/// Reads in a row that found bytes waiting, after which the coroutine pauses. The runtime polls for events
-/// only when nothing runs, so a peer that sends continuously would starve all others.
-const MAX_READS_IN_A_ROW: u32 = 32;
-/// The length of that pause.
+/// Number of consecutive reads without waiting after which the coroutine pauses. The runtime polls for events
+/// only when no coroutine is runnable, so a peer that sends continuously would starve all others.
+const MAX_CONSECUTIVE_READS: u32 = 32;
+/// Duration of that pause.
 const FAIRNESS_PAUSE: Duration = Duration::from_millis(1);
 
-/// The bytes that were read from a connection and not parsed yet.
+/// A buffer of bytes that were read from a connection and are not parsed yet.
 pub(super) struct ReadBuffer {
     pub(super) socket: Socket,
     bytes: Vec<u8>,
-    /// When the bytes were read.
+    /// The read times of the bytes.
     arrivals: Arrivals,
-    /// Reads since it last waited.
-    reads_in_a_row: u32,
-    /// Nothing that is read from now on is kept.
-    is_sealed: bool,
+    /// Number of reads since the last one that waited.
+    consecutive_reads: u32,
+    /// Whether bytes that are read are discarded.
+    is_discarding: bool,
 }
 
 impl ReadBuffer {
@@ -34,8 +34,8 @@
             socket,
             bytes: Vec::new(),
             arrivals: Arrivals::default(),
-            reads_in_a_row: 0,
-            is_sealed: false,
+            consecutive_reads: 0,
+            is_discarding: false,
         }
     }
 
@@ -48,57 +48,57 @@
         self.arrivals.first()
     }
 
-    /// When the last byte that was removed had been read.
+    /// When the last removed byte was read.
     pub(super) fn last_removed_at(&self) -> Micros {
         self.arrivals.last_consumed_at()
     }
 
-    pub(super) fn seal(&mut self) {
-        self.is_sealed = true;
+    pub(super) fn start_discarding(&mut self) {
+        self.is_discarding = true;
     }
 
-    pub(super) fn unseal(&mut self) {
-        self.is_sealed = false;
+    pub(super) fn stop_discarding(&mut self) {
+        self.is_discarding = false;
     }
 
-    pub(super) fn is_sealed(&self) -> bool {
-        self.is_sealed
+    pub(super) fn is_discarding(&self) -> bool {
+        self.is_discarding
     }
 
-    /// Removes the first bytes and returns them.
-    pub(super) fn split(&mut self, count: usize) -> Vec<u8> {
+    /// Removes the first `count` bytes and returns them.
+    pub(super) fn split_to(&mut self, count: usize) -> Vec<u8> {
         self.arrivals.consume(count);
         let rest = self.bytes.split_off(count);
         std::mem::replace(&mut self.bytes, rest)
     }
 
-    /// Removes the first bytes.
+    /// Removes the first `count` bytes.
     pub(super) fn advance(&mut self, count: usize) {
         self.arrivals.consume(count);
         self.bytes.drain(..count);
     }
 
-    /// Reads once; false at the end of the connection.
+    /// Reads once. Returns false at the end of the connection.
     pub(super) fn fill(&mut self, deadline: Micros) -> Result<bool, HttpError> {
-        if self.reads_in_a_row >= MAX_READS_IN_A_ROW {
-            self.reads_in_a_row = 0;
+        if self.consecutive_reads >= MAX_CONSECUTIVE_READS {
+            self.consecutive_reads = 0;
             may::coroutine::sleep(FAIRNESS_PAUSE);
         }
         let old_length = self.bytes.len();
         self.bytes.resize(old_length + READ_SIZE, 0);
-        let result = self.socket.read_or_wait(&mut self.bytes[old_length..], deadline);
+        let result = self.socket.read_reporting_wait(&mut self.bytes[old_length..], deadline);
         let read = result.as_ref().map_or(0, |read| read.bytes);
-        let kept = if self.is_sealed { 0 } else { read };
+        let kept = if self.is_discarding { 0 } else { read };
         self.bytes.truncate(old_length + kept);
         self.arrivals.extend(self.bytes.len(), clock::now());
         let waited = result.map_err(read_error)?.waited;
-        self.reads_in_a_row = if waited { 0 } else { self.reads_in_a_row + 1 };
+        self.consecutive_reads = if waited { 0 } else { self.consecutive_reads + 1 };
         Ok(read > 0)
     }
 
-    /// Reads once; the end of the connection is an error.
+    /// Reads once. Fails at the end of the connection.
     pub(super) fn fill_more(&mut self, deadline: Micros) -> Result<(), HttpError> {
-        if self.is_sealed {
+        if self.is_discarding {
             return Err(HttpError::Closed);
         }
         let was_empty = self.bytes.is_empty();
@@ -108,7 +108,7 @@
         Err(if was_empty { HttpError::Closed } else { HttpError::ConnectionLost })
     }
 
-    /// Reads until there are this many bytes.
+    /// Reads until the buffer holds at least `length` bytes.
     pub(super) fn fill_to(&mut self, length: usize, deadline: Micros) -> Result<(), HttpError> {
         while self.bytes.len() < length {
             self.fill_more(deadline)?;
--- a/dispatcher/src/wire/http/reader.rs
+++ b/dispatcher/src/wire/http/reader.rs
@@ -3,32 +3,32 @@
 use super::head::{self, Head, ParsedHead};
 use super::message::Message;
 use super::read_buffer::ReadBuffer;
-use super::{HttpError, MAX_BODY, MAX_HEAD, chunked};
+use super::{HttpError, MAX_BODY_BYTES, MAX_HEAD_BYTES, chunked};
 use crate::wire::socket::Socket;
 use roselock::Micros;
 
-/// Most interim responses (1xx) before the final one.
+/// Maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 16;
 
 /// Reads messages from a connection.
 pub struct Reader {
     buffer: ReadBuffer,
-    /// Longest body, in bytes.
+    /// Maximum size of a body, in bytes.
     max_body: usize,
 }
 
 impl Reader {
-    /// A reader at the start of a connection, for bodies of up to [`MAX_BODY`] bytes.
+    /// Creates a reader at the start of a connection, for bodies of up to [`MAX_BODY_BYTES`].
     pub fn new(socket: Socket) -> Reader {
-        Reader::with_max_body(socket, MAX_BODY)
+        Reader::with_max_body(socket, MAX_BODY_BYTES)
     }
 
-    /// A reader for bodies of up to `max_body` bytes.
+    /// Creates a reader for bodies of up to `max_body` bytes.
     pub fn with_max_body(socket: Socket, max_body: usize) -> Reader {
         Reader { buffer: ReadBuffer::new(socket), max_body }
     }
 
-    /// The bytes that were read and not parsed yet.
+    /// The bytes that were read but are not parsed yet.
     pub fn unparsed(&self) -> &[u8] {
         self.buffer.bytes()
     }
@@ -38,14 +38,14 @@
         self.unparsed().is_empty()
     }
 
-    /// Discards what is read from now on; unparsed bytes stay.
-    pub fn seal(&mut self) {
-        self.buffer.seal();
+    /// Discards bytes that are read from now on; the unparsed bytes are kept.
+    pub fn start_discarding(&mut self) {
+        self.buffer.start_discarding();
     }
 
-    /// Whether what is read is discarded, see [`Reader::seal`].
-    pub fn is_sealed(&self) -> bool {
-        self.buffer.is_sealed()
+    /// Whether bytes that are read are discarded, see [`Reader::start_discarding`].
+    pub fn is_discarding(&self) -> bool {
+        self.buffer.is_discarding()
     }
 
     /// When the first unparsed byte was read.
@@ -55,11 +55,11 @@
 
     /// Removes empty lines between messages (RFC 9112, 2.2).
     pub fn skip_blank_lines(&mut self) {
-        let blank = self.unparsed().iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        self.buffer.advance(blank);
+        let blank_length = self.unparsed().iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        self.buffer.advance(blank_length);
     }
 
-    /// Reads once; false at the end of the connection.
+    /// Reads once. Returns false at the end of the connection.
     ///
     /// # Errors
     /// The deadline passed, or the connection failed.
@@ -67,12 +67,12 @@
         self.buffer.fill(deadline)
     }
 
-    /// Removes the unparsed bytes and reads once; false at the end of the connection.
+    /// Discards the unparsed bytes and reads once. Returns false at the end of the connection.
     ///
     /// # Errors
     /// The deadline passed, or the connection failed.
     pub fn discard_and_fill(&mut self, deadline: Micros) -> Result<bool, HttpError> {
-        self.buffer.unseal();
+        self.buffer.stop_discarding();
         self.buffer.advance(self.buffer.bytes().len());
         self.fill(deadline)
     }
@@ -80,15 +80,15 @@
     /// Reads the head of a request.
     ///
     /// # Errors
-    /// No valid head came before the deadline.
+    /// No valid head was received before the deadline.
     pub fn read_request_head(&mut self, deadline: Micros) -> Result<Head, HttpError> {
         self.read_head(deadline, head::parse_request)
     }
 
-    /// Reads the body of a request, after `100 Continue` where the client waits for that.
+    /// Reads the body of a request. Sends `100 Continue` first if the client waits for it.
     ///
     /// # Errors
-    /// No valid body came before the deadline.
+    /// No valid body was received before the deadline.
     pub fn read_request_body(&mut self, head: Head, deadline: Micros) -> Result<Message, HttpError> {
         let Head { mut message, end } = head;
         let framing = &message.framing;
@@ -101,17 +101,17 @@
         Ok(message)
     }
 
-    /// Reads a complete response; interim ones are skipped.
+    /// Reads a complete response; interim responses are skipped.
     ///
     /// # Errors
-    /// No valid response came before the deadline.
+    /// No valid response was received before the deadline.
     pub fn read_response(&mut self, deadline: Micros) -> Result<Message, HttpError> {
         let Head { mut message, end } = self.read_final_head(deadline)?;
         if matches!(message.status, 204 | 304) {
             message.framing.content_length = Some(0);
             message.framing.is_chunked = false;
         }
-        // Without a length the body ends with the connection.
+        // A body without a length ends with the connection (RFC 9112, 6.3).
         if message.framing.content_length.is_none() && !message.framing.is_chunked {
             message.close = true;
             while self.unparsed().len() < end + self.max_body && self.fill(deadline)? {}
@@ -121,21 +121,21 @@
         Ok(message)
     }
 
-    /// Reads the head of a response whose chunks are read one at a time.
+    /// Reads the head of a response whose chunks are read one at a time with [`Reader::read_chunk`].
     ///
     /// # Errors
-    /// No valid head came before the deadline.
+    /// No valid head was received before the deadline.
     pub fn read_stream_head(&mut self, deadline: Micros) -> Result<Message, HttpError> {
         let Head { message, end } = self.read_head(deadline, head::parse_response)?;
         self.buffer.advance(end);
         Ok(message)
     }
 
-    /// Appends the bytes of the next chunk, of which there may be at most `max_size`; false after the last
+    /// Appends the data of the next chunk, at most `max_size` bytes, to `into`. Returns false after the last
     /// chunk.
     ///
     /// # Errors
-    /// No valid chunk came before the deadline, or it is too large.
+    /// No valid chunk was received before the deadline, or the chunk is too large.
     pub fn read_chunk(
         &mut self,
         into: &mut Vec<u8>,
@@ -145,7 +145,7 @@
         chunked::read_chunk(&mut self.buffer, into, max_size, deadline)
     }
 
-    /// Reads the head of a response that is not an interim one.
+    /// Reads the head of the final response; interim responses are skipped.
     fn read_final_head(&mut self, deadline: Micros) -> Result<Head, HttpError> {
         let mut interim_responses = 0;
         loop {
@@ -169,7 +169,7 @@
                     framed.map_err(HttpError::Status)?;
                     return Ok(head);
                 }
-                if self.unparsed().len() > MAX_HEAD {
+                if self.unparsed().len() > MAX_HEAD_BYTES {
                     return Err(HttpError::Status(431));
                 }
             }
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Moves the head, which ends at `head_end`, and the body out of the buffer into the message.
+    /// Reads the body, and moves the head, which ends at `head_end`, and the body from the buffer into the
+    /// message.
     fn read_body(
         &mut self,
         message: &mut Message,
@@ -190,16 +191,16 @@
         } else {
             let end = head_end + message.framing.content_length.unwrap_or(0);
             self.buffer.fill_to(end, deadline)?;
-            message.raw = self.buffer.split(end);
+            message.raw = self.buffer.split_to(end);
             message.body = head_end..end;
         }
         message.received_at = self.buffer.last_removed_at();
         Ok(())
     }
 
-    /// The head, followed by the data of all chunks.
+    /// Reads a chunked body. Returns the head, followed by the data of all chunks.
     fn read_chunks(&mut self, head_end: usize, deadline: Micros) -> Result<Vec<u8>, HttpError> {
-        let mut raw = self.buffer.split(head_end);
+        let mut raw = self.buffer.split_to(head_end);
         loop {
             let max_size = head_end + self.max_body - raw.len();
             if !self.read_chunk(&mut raw, max_size, deadline)? {
--- a/dispatcher/src/wire/http/response.rs
+++ b/dispatcher/src/wire/http/response.rs
@@ -1,19 +1,19 @@
-//! Responses that this process writes.
+//! Writes responses.
 
 use crate::wire::socket::Socket;
 use roselock::Micros;
 use std::io;
 
-/// A response.
+/// A response to write.
 #[derive(Default)]
 pub struct Response<'a> {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Further headers, each with the end of its line.
+    /// Additional headers, each terminated by CRLF.
     pub headers: &'a str,
     /// The body.
     pub body: &'a [u8],
-    /// The connection closes after it.
+    /// Whether the connection closes after the response.
     pub close: bool,
 }
 
--- a/dispatcher/src/wire/socket.rs
+++ b/dispatcher/src/wire/socket.rs
@@ -1,8 +1,8 @@
-//! A thin layer over sockets: callers give absolute deadlines, the operating system gets time-outs.
+//! A thin layer over sockets that converts absolute deadlines to the timeouts of the operating system.
 //!
-//! The stream of the coroutine runtime holds one waiting coroutine for each socket. Only the reader of a
-//! socket waits there, in `peek`; all other calls go to the non-blocking socket itself, so that one coroutine
-//! may write, and any close, while another waits to read, without a second descriptor.
+//! The `TcpStream` of the coroutine runtime supports one waiting coroutine per socket. Only the reader of a
+//! socket waits there, in `peek`; all other calls use the underlying non-blocking socket. One coroutine can
+//! therefore write, and any coroutine close, while another waits to read, without a second descriptor.
 
 use crate::core::clock;
 use may::net::TcpStream;
@@ -16,8 +16,8 @@
 /// Why a connection could not be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// A shortage on this machine (descriptors, ports, memory), or an interrupted call: no evidence against
-    /// the peer.
+    /// The machine is out of a resource (descriptors, ports, memory), or the call was interrupted. This is
+    /// not evidence of a fault of the peer.
     #[error(transparent)]
     Local(io::Error),
     /// The peer refused the connection, or could not be reached in time.
@@ -26,7 +26,7 @@
 }
 
 impl From<io::Error> for ConnectError {
-    /// Classifies the error numbers as socket(2) and connect(2) document them.
+    /// Classifies the error numbers documented in socket(2) and connect(2).
     fn from(error: io::Error) -> ConnectError {
         match error.raw_os_error() {
             Some(
@@ -45,43 +45,43 @@
     }
 }
 
-/// First pause before a retry after a local shortage, in microseconds.
-const INITIAL_PAUSE: Micros = 2_000;
-/// Longest pause between such retries, in microseconds.
-const MAX_PAUSE: Micros = 50_000;
-/// Pause before a further write to a peer whose receive window is full.
-const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(2);
+/// Delay before the first retry after a local shortage.
+const INITIAL_RETRY_DELAY: Micros = 2_000;
+/// Maximum delay between such retries.
+const MAX_RETRY_DELAY: Micros = 50_000;
+/// Delay before writing again to a peer whose receive window is full.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Exponential backoff of retries after a local shortage.
+/// Exponential backoff for retries after a local shortage.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalRetry {
-    next_pause: Micros,
+    next_delay: Micros,
 }
 
 impl Default for LocalRetry {
     fn default() -> LocalRetry {
-        LocalRetry { next_pause: INITIAL_PAUSE }
+        LocalRetry { next_delay: INITIAL_RETRY_DELAY }
     }
 }
 
 impl LocalRetry {
-    /// Waits before the next attempt; false, at once, if there is no time for one before the deadline.
+    /// Waits before the next attempt. Returns false without waiting if the deadline would pass first.
     pub fn wait(&mut self, deadline: Micros) -> bool {
-        if clock::now() + self.next_pause >= deadline {
+        if clock::now() + self.next_delay >= deadline {
             return false;
         }
-        may::coroutine::sleep(Duration::from_micros(self.next_pause as u64));
-        self.next_pause = (self.next_pause * 2).min(MAX_PAUSE);
+        may::coroutine::sleep(Duration::from_micros(self.next_delay as u64));
+        self.next_delay = (self.next_delay * 2).min(MAX_RETRY_DELAY);
         true
     }
 }
 
 /// The result of a read.
 #[derive(Clone, Copy, Debug)]
-pub struct Read {
-    /// Bytes that were read; 0 at the end of the connection.
+pub struct ReadResult {
+    /// Number of bytes read; 0 at the end of the connection.
     pub bytes: usize,
-    /// Whether it waited for them.
+    /// Whether the call waited for them.
     pub waited: bool,
 }
 
@@ -90,7 +90,7 @@
 pub struct Socket(Arc<TcpStream>);
 
 impl Socket {
-    /// Takes over an accepted connection.
+    /// Wraps a connected stream and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> Socket {
         let _ = stream.set_nodelay(true);
         Socket(Arc::new(stream))
@@ -99,32 +99,33 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// The peer refused it or could not be reached before the deadline, or this machine has a shortage.
-    pub fn connect(to: SocketAddr, deadline: Micros) -> Result<Socket, ConnectError> {
+    /// The peer refused the connection, could not be reached before the deadline, or this machine is out of a
+    /// resource.
+    pub fn connect(address: SocketAddr, deadline: Micros) -> Result<Socket, ConnectError> {
         let left = clock::left(deadline);
         if left.is_zero() {
             return Err(ConnectError::Peer(ErrorKind::TimedOut.into()));
         }
-        Ok(TcpStream::connect_timeout(&to, left).map(Socket::new)?)
+        Ok(TcpStream::connect_timeout(&address, left).map(Socket::new)?)
     }
 
-    /// Reads what has arrived, waiting for the first byte. 0 is the end.
+    /// Reads what has arrived, waiting for the first byte. Returns 0 at the end of the connection.
     ///
     /// # Errors
     /// The deadline passed, or the connection failed.
     pub fn read(&self, into: &mut [u8], deadline: Micros) -> io::Result<usize> {
-        self.read_or_wait(into, deadline).map(|read| read.bytes)
+        self.read_reporting_wait(into, deadline).map(|read| read.bytes)
     }
 
-    /// Reads what has arrived, waiting for the first byte, and tells whether it waited.
+    /// Reads what has arrived, waiting for the first byte, and reports whether it waited.
     ///
     /// # Errors
     /// The deadline passed, or the connection failed.
-    pub fn read_or_wait(&self, into: &mut [u8], deadline: Micros) -> io::Result<Read> {
+    pub fn read_reporting_wait(&self, into: &mut [u8], deadline: Micros) -> io::Result<ReadResult> {
         let mut waited = false;
         loop {
             match self.0.inner().read(into) {
-                Ok(bytes) => return Ok(Read { bytes, waited }),
+                Ok(bytes) => return Ok(ReadResult { bytes, waited }),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     waited = true;
@@ -147,8 +148,8 @@
         }
     }
 
-    /// Reads and discards what has arrived, up to `max_bytes`, without waiting. Closing with unread bytes
-    /// would reset the connection, and what was written last might be lost.
+    /// Reads and discards what has arrived, up to `max_bytes`, without waiting. Closing a socket with unread
+    /// bytes resets the connection, and the peer may then lose the last bytes written.
     pub fn discard_received(&self, max_bytes: usize) {
         let mut bytes = [0; 4096];
         let mut left = max_bytes;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Writes all parts with gathering writes, as many as it takes.
+    /// Writes all parts with vectored writes, repeated until everything is written.
     ///
     /// # Errors
     /// The deadline passed, or the connection failed.
@@ -169,7 +170,7 @@
         self.write_guarded(parts, deadline, |call| call())
     }
 
-    /// Writes all parts; each system call is made by a guard, which may refuse it.
+    /// Writes all parts. Each system call is passed to `guard`, which makes it or refuses it.
     ///
     /// # Errors
     /// The deadline passed, the connection failed, or the guard refused a call.
@@ -187,10 +188,9 @@
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => IoSlice::advance_slices(&mut rest, count),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // The peer reads too slowly. Only the reader may wait for events of the socket, so this
-                // polls.
+                // The peer reads too slowly. Only the reader may wait for socket events, so the writer polls.
                 Err(error) if error.kind() == ErrorKind::WouldBlock && !clock::left(deadline).is_zero() => {
-                    may::coroutine::sleep(WRITE_RETRY_PAUSE);
+                    may::coroutine::sleep(WRITE_RETRY_DELAY);
                 }
                 Err(error) => return Err(error),
             }
@@ -198,14 +198,15 @@
         Ok(())
     }
 
-    /// Acknowledges received bytes at once instead of with the next response: a peer that holds back its next
-    /// bytes until then (Nagle's algorithm, RFC 896) would wait for the system's delayed acknowledgement.
+    /// Acknowledges received bytes immediately instead of with the next response. A peer that holds back its
+    /// next bytes until then (Nagle's algorithm, RFC 896) would otherwise wait for the system's delayed
+    /// acknowledgement.
     pub fn acknowledge(&self) {
         let _ = socket2::SockRef::from(self.0.inner()).set_tcp_quickack(true);
     }
 
-    /// Whether an idle connection is still open, and nothing has arrived on it.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether the connection is open and has no unread bytes.
+    pub fn is_open_and_idle(&self) -> bool {
         loop {
             match self.0.inner().peek(&mut [0]) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -214,12 +215,12 @@
         }
     }
 
-    /// Shuts down both directions; a waiting reader wakes.
+    /// Shuts down both directions and wakes a waiting reader.
     pub fn close(&self) {
         let _ = self.0.shutdown(Shutdown::Both);
     }
 
-    /// Shuts down the writing direction: the peer learns that nothing more will be written.
+    /// Shuts down the write side, so that the peer sees the end of the stream.
     pub fn shut_down_writes(&self) {
         let _ = self.0.shutdown(Shutdown::Write);
     }
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// One part in this many of the connections is reserved for withdrawals.
+/// This fraction (1/N) of the connections is reserved for withdrawals.
 const WITHDRAWAL_RESERVE_DIVISOR: usize = 8;
 
-/// What all connections to the upstream hosts share.
-struct SharedParts {
+/// State shared by all connections to upstream hosts.
+struct DialerContext {
     inbox: Inbox,
     site: Arc<Site>,
     metrics: Arc<Metrics>,
@@ -28,13 +28,13 @@
 
 /// Opens connections to the upstream hosts of the HTTP fleet.
 pub struct HttpDialer {
-    shared: Arc<SharedParts>,
+    shared: Arc<DialerContext>,
     max_connections: usize,
     poll_requests: Sender<()>,
 }
 
 impl HttpDialer {
-    /// A dialer without connections, of which there may be `max_connections`. `site` interprets load reports,
+    /// Creates a dialer for up to `max_connections` connections. `site` interprets load reports,
     /// `poll_requests` wakes the discovery client, and `metrics` counts the attempts that were sent
     /// completely.
     pub fn new(
@@ -45,7 +45,7 @@
         poll_requests: Sender<()>,
     ) -> HttpDialer {
         let open_connections = AtomicUsize::new(0);
-        let shared = Arc::new(SharedParts { inbox, site, metrics, open_connections });
+        let shared = Arc::new(DialerContext { inbox, site, metrics, open_connections });
         HttpDialer { shared, max_connections, poll_requests }
     }
 }
@@ -61,7 +61,7 @@
             connection.run(request, &pending_requests);
             shared.open_connections.fetch_sub(1, Ordering::SeqCst);
         });
-        Arc::new(HttpConnection { requests, phase })
+        Arc::new(HttpConnectionHandle { requests, phase })
     }
 
     fn has_capacity(&self, kind: &RequestKind) -> bool {
@@ -77,13 +77,13 @@
     }
 }
 
-/// The owner thread's handle of a connection.
-struct HttpConnection {
+/// The owner thread's handle to a connection.
+struct HttpConnectionHandle {
     requests: Sender<UpstreamRequest>,
     phase: SharedPhase,
 }
 
-impl UpstreamConnection for HttpConnection {
+impl UpstreamConnection for HttpConnectionHandle {
     fn start(&self, request: UpstreamRequest) -> bool {
         self.requests.send(request).is_ok()
     }
--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -1,6 +1,6 @@
-//! The coroutine of a connection: opens it, and exchanges one upstream request after another on it.
+//! The coroutine of a connection: opens it, and performs upstream requests on it in sequence.
 
-use super::SharedParts;
+use super::DialerContext;
 use super::phase::SharedPhase;
 use super::request::write_request;
 use super::response::response_event;
@@ -15,7 +15,7 @@
 
 /// The coroutine's side of a connection.
 pub(super) struct Connection {
-    shared: Arc<SharedParts>,
+    shared: Arc<DialerContext>,
     endpoint: SocketAddr,
     phase: SharedPhase,
     open: Option<OpenConnection>,
@@ -25,52 +25,52 @@
 struct OpenConnection {
     socket: Socket,
     reader: Reader,
-    /// When the attempt to open it began, while it carries its first request.
+    /// When opening the connection began; `None` after its first request.
     opened_at: Option<Micros>,
 }
 
 impl OpenConnection {
-    /// Whether it was opened for the current request, and so recently that a close means that the host
-    /// rejects it.
+    /// Whether the connection was opened for the current request, and so recently that a close by the host
+    /// counts as a rejection.
     fn is_within_immediate_close(&self) -> bool {
         let now = clock::now();
         self.opened_at.is_some_and(|opened_at| now - opened_at <= IMMEDIATE_CLOSE)
     }
 }
 
-/// Why a connection was not opened.
+/// The reason why a connection was not opened.
 enum OpenError {
-    /// The host refused it or could not be reached in time, or the request was aborted first.
+    /// The host refused the connection or could not be reached in time, or the request was aborted before.
     Failed,
-    /// A shortage on this machine lasted until the end of the request's time.
+    /// This machine was out of a resource until the request could no longer begin.
     LocalShortage,
 }
 
 /// The result of an upstream request.
-struct Exchanged {
+struct ExchangeResult {
     event: UpstreamEvent,
     connection: ConnectionState,
 }
 
-impl Exchanged {
-    fn closed(event: UpstreamEvent) -> Exchanged {
-        Exchanged { event, connection: ConnectionState::Closed }
+impl ExchangeResult {
+    fn closed(event: UpstreamEvent) -> ExchangeResult {
+        ExchangeResult { event, connection: ConnectionState::Closed }
     }
-    fn rejected(request_written: bool) -> Exchanged {
-        Exchanged::closed(UpstreamEvent::ConnectionRejected { request_written })
+    fn rejected(request_written: bool) -> ExchangeResult {
+        ExchangeResult::closed(UpstreamEvent::ConnectionRejected { request_written })
     }
 }
 
 impl Connection {
-    pub(super) fn new(shared: Arc<SharedParts>, endpoint: SocketAddr, phase: SharedPhase) -> Connection {
+    pub(super) fn new(shared: Arc<DialerContext>, endpoint: SocketAddr, phase: SharedPhase) -> Connection {
         Connection { shared, endpoint, phase, open: None }
     }
 
-    /// Exchanges requests until the connection closes, or the owner thread drops it.
+    /// Performs requests until the connection closes, or the owner thread drops its handle.
     pub(super) fn run(mut self, first: UpstreamRequest, pending_requests: &Receiver<UpstreamRequest>) {
         let mut next = Some(first);
         while let Some(request) = next {
-            let Exchanged { event, connection } = self.exchange(&request);
+            let ExchangeResult { event, connection } = self.exchange(&request);
             self.shared.inbox.post(Input::Upstream { id: request.id, event, connection });
             if connection == ConnectionState::Closed {
                 return;
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Exchanges an upstream request, on a new connection if there is none or the host has closed it.
-    fn exchange(&mut self, request: &UpstreamRequest) -> Exchanged {
+    /// Performs an upstream request. Opens a new connection if there is none, or if the host has closed it.
+    fn exchange(&mut self, request: &UpstreamRequest) -> ExchangeResult {
         self.drop_if_closed_by_host();
         let mut open = match self.open.take() {
             Some(open) => open,
             None => match self.open_connection(request) {
                 Ok(open) => open,
-                Err(error) => return unopened(request, &error),
+                Err(error) => return open_failed_result(request, &error),
             },
         };
         let exchanged = match request.kind {
@@ -97,27 +97,27 @@
         exchanged
     }
 
-    /// An idle connection that the host has closed is replaced, as nothing is written yet. One that was
-    /// closed from this side is not: its upstream request has been aborted.
+    /// Drops an idle connection that the host has closed, so that it is replaced; nothing has been written on
+    /// it yet. A connection that was closed from this side is not replaced, because its request was aborted.
     fn drop_if_closed_by_host(&mut self) {
-        if self.open.as_ref().is_some_and(|open| !open.socket.is_quiet()) {
+        if self.open.as_ref().is_some_and(|open| !open.socket.is_open_and_idle()) {
             self.open = None;
             self.phase.reopen();
         }
     }
 
-    fn send_and_receive(&self, open: &mut OpenConnection, request: &UpstreamRequest) -> Exchanged {
-        if open.opened_at.is_some() && !open.socket.is_quiet() {
-            return Exchanged::rejected(false);
+    fn send_and_receive(&self, open: &mut OpenConnection, request: &UpstreamRequest) -> ExchangeResult {
+        if open.opened_at.is_some() && !open.socket.is_open_and_idle() {
+            return ExchangeResult::rejected(false);
         }
-        if is_too_late(request) {
-            return Exchanged::closed(unsent_event(&request.kind, Outcome::NotStarted));
+        if is_past_begin_by(request) {
+            return ExchangeResult::closed(unsent_event(&request.kind, Outcome::NotStarted));
         }
         if write_request(&open.socket, &self.phase, self.endpoint, request).is_err() {
             if open.is_within_immediate_close() {
-                return Exchanged::rejected(false);
+                return ExchangeResult::rejected(false);
             }
-            return Exchanged::closed(unsent_event(&request.kind, Outcome::ConnectFailed));
+            return ExchangeResult::closed(unsent_event(&request.kind, Outcome::ConnectFailed));
         }
         if let Some(class) = request.class {
             self.shared.metrics.attempt_sent(class);
@@ -125,18 +125,21 @@
         self.receive(open, request)
     }
 
-    fn receive(&self, open: &mut OpenConnection, request: &UpstreamRequest) -> Exchanged {
+    fn receive(&self, open: &mut OpenConnection, request: &UpstreamRequest) -> ExchangeResult {
         match open.reader.read_response(request.deadline) {
             Ok(response) => {
                 let must_close = response.close || !open.reader.is_empty();
                 let connection = if must_close { ConnectionState::Closed } else { ConnectionState::Free };
                 let event = response_event(&request.kind, &response, &self.shared.site);
-                Exchanged { event, connection }
+                ExchangeResult { event, connection }
             }
-            // The owner thread ends the attempt at its deadline; until then no response is no outcome.
-            Err(HttpError::TimedOut) => Exchanged::closed(UpstreamEvent::Ignored),
-            Err(_) if open.is_within_immediate_close() && open.reader.is_empty() => Exchanged::rejected(true),
-            Err(_) => Exchanged::closed(lost_event(&request.kind)),
+            // The owner thread ends the attempt at its deadline, so the timeout is not reported as an
+            // outcome.
+            Err(HttpError::TimedOut) => ExchangeResult::closed(UpstreamEvent::Ignored),
+            Err(_) if open.is_within_immediate_close() && open.reader.is_empty() => {
+                ExchangeResult::rejected(true)
+            }
+            Err(_) => ExchangeResult::closed(connection_lost_event(&request.kind)),
         }
     }
 
@@ -149,9 +152,9 @@
         Ok(OpenConnection { socket, reader, opened_at: Some(opened_at) })
     }
 
-    /// Connects. A shortage on this machine is retried for as long as the request may begin: it is no
-    /// evidence against the host, and uses up no attempt. A request that was aborted before it began opens no
-    /// connection.
+    /// Connects. After a local resource shortage, connecting is retried as long as the request may begin: the
+    /// shortage is not evidence of a fault of the host, and does not count as an attempt. No connection is
+    /// opened for a request that was aborted.
     fn connect(&self, request: &UpstreamRequest) -> Result<Socket, OpenError> {
         let give_up_at = request.begin_by.min(request.deadline);
         let timeout = request.connect_by - clock::now();
@@ -169,7 +172,7 @@
                 }
                 Err(ConnectError::Local(error)) => {
                     let endpoint = self.endpoint;
-                    tracing::debug!(%endpoint, reason = %error, "local shortage, connecting later");
+                    tracing::debug!(%endpoint, reason = %error, "local resource shortage, retrying connect");
                     if !retry.wait(give_up_at) {
                         return Err(OpenError::LocalShortage);
                     }
@@ -180,48 +183,48 @@
     }
 }
 
-/// Waits for a new connection to be rejected.
-fn preconnect(open: &mut OpenConnection) -> Exchanged {
+/// Waits for the time in which the host may reject a new connection.
+fn preconnect(open: &mut OpenConnection) -> ExchangeResult {
     match open.reader.read_response(deadline_after(IMMEDIATE_CLOSE)) {
         Err(HttpError::TimedOut) => {
-            Exchanged { event: UpstreamEvent::Ignored, connection: ConnectionState::Free }
+            ExchangeResult { event: UpstreamEvent::Ignored, connection: ConnectionState::Free }
         }
-        _ => Exchanged::rejected(false),
+        _ => ExchangeResult::rejected(false),
     }
 }
 
-/// Whether the time in which a request may begin is over.
-fn is_too_late(request: &UpstreamRequest) -> bool {
+/// Whether it is too late for the request to begin.
+fn is_past_begin_by(request: &UpstreamRequest) -> bool {
     clock::now() >= request.begin_by
 }
 
-/// The result of a request whose connection was not opened.
-fn unopened(request: &UpstreamRequest, error: &OpenError) -> Exchanged {
+/// The result of a request whose connection could not be opened.
+fn open_failed_result(request: &UpstreamRequest, error: &OpenError) -> ExchangeResult {
     let outcome = match error {
-        OpenError::Failed if !is_too_late(request) => Outcome::ConnectFailed,
+        OpenError::Failed if !is_past_begin_by(request) => Outcome::ConnectFailed,
         OpenError::Failed | OpenError::LocalShortage => Outcome::NotStarted,
     };
-    Exchanged::closed(unsent_event(&request.kind, outcome))
+    ExchangeResult::closed(unsent_event(&request.kind, outcome))
 }
 
-/// The event of a request that was not sent completely.
+/// The event for a request that was not sent completely.
 fn unsent_event(kind: &RequestKind, outcome: Outcome) -> UpstreamEvent {
     match kind {
-        RequestKind::Run(_) => attempt_ended(outcome),
+        RequestKind::Run(_) => attempt_ended_event(outcome),
         RequestKind::HealthCheck => UpstreamEvent::HealthChecked { ok: false, report: LoadReport::default() },
         RequestKind::Withdraw(_) => UpstreamEvent::Ignored,
         RequestKind::Preconnect => UpstreamEvent::ConnectionLost,
     }
 }
 
-/// The event of a request whose connection was lost before its response.
-fn lost_event(kind: &RequestKind) -> UpstreamEvent {
+/// The event for a request whose connection was lost before the response.
+fn connection_lost_event(kind: &RequestKind) -> UpstreamEvent {
     match kind {
-        RequestKind::Run(_) => attempt_ended(Outcome::Reset),
+        RequestKind::Run(_) => attempt_ended_event(Outcome::Reset),
         _ => UpstreamEvent::ConnectionLost,
     }
 }
 
-fn attempt_ended(outcome: Outcome) -> UpstreamEvent {
+fn attempt_ended_event(outcome: Outcome) -> UpstreamEvent {
     UpstreamEvent::Ended { outcome, report: LoadReport::default(), body: Vec::new() }
 }
--- a/dispatcher/src/wire/upstream/phase.rs
+++ b/dispatcher/src/wire/upstream/phase.rs
@@ -1,37 +1,37 @@
-//! The phase of a connection, which its coroutine and the owner thread share.
+//! The phase of a connection, shared by its coroutine and the owner thread.
 
 use crate::wire::socket::Socket;
 use parking_lot::Mutex;
 use std::io::{self, ErrorKind};
 use std::sync::Arc;
 
-/// The phase of a connection.
+/// The phase of a connection and of its current request.
 #[derive(Default)]
 enum Phase {
     /// The connection is being opened.
     #[default]
     Opening,
-    /// A part of a request has not been written yet. An attempt begins with its last byte, so this one has
-    /// not begun.
+    /// The request has not been written completely. An attempt begins when its last byte is written, so this
+    /// one has not begun.
     Writing(Socket),
-    /// The connection is open, and its last request is written completely.
+    /// The connection is open, and the last request has been written completely.
     Open(Socket),
     /// The request was aborted or cancelled.
     Aborted,
 }
 
-/// The request was aborted or cancelled.
+/// Error: the request was aborted or cancelled.
 pub(super) struct Aborted;
 
-/// The phase of a connection, which its coroutine and the owner thread share.
+/// The phase of a connection, shared by its coroutine and the owner thread.
 #[derive(Clone, Default)]
 pub(super) struct SharedPhase(Arc<Mutex<Phase>>);
 
 impl SharedPhase {
-    /// Whether the connection is open, with nothing received.
+    /// Whether the connection is open and has no unread bytes.
     pub(super) fn is_open(&self) -> bool {
         let phase = self.0.lock();
-        matches!(&*phase, Phase::Open(socket) if socket.is_quiet())
+        matches!(&*phase, Phase::Open(socket) if socket.is_open_and_idle())
     }
 
     /// Whether the request was aborted or cancelled.
@@ -39,7 +39,7 @@
         matches!(*self.0.lock(), Phase::Aborted)
     }
 
-    /// Cancels a request that is not written completely; false if it is.
+    /// Cancels a request that has not been written completely. Returns false if it has been.
     pub(super) fn cancel_unsent(&self) -> bool {
         let mut phase = self.0.lock();
         match &*phase {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Goes back to opening, to replace a connection that its host has closed. An aborted one stays aborted.
+    /// Returns to the opening phase, to replace a connection that the host has closed. An aborted request
+    /// stays aborted.
     pub(super) fn reopen(&self) {
         let mut phase = self.0.lock();
         if !matches!(*phase, Phase::Aborted) {
@@ -71,7 +72,7 @@
     /// Records that the connection is open.
     ///
     /// # Errors
-    /// The request was aborted meanwhile.
+    /// The request was aborted in the meantime.
     pub(super) fn set_open(&self, socket: &Socket) -> Result<(), Aborted> {
         let mut phase = self.0.lock();
         if matches!(*phase, Phase::Aborted) {
@@ -81,8 +82,8 @@
         Ok(())
     }
 
-    /// Makes one write call and subtracts the bytes that it wrote from `unwritten`. This holds the lock, so
-    /// that whoever cancels the request knows whether its last byte has been sent.
+    /// Makes one write call, and subtracts the number of bytes written from `unwritten`. The lock is held
+    /// during the call, so that a cancellation knows whether the last byte of the request has been sent.
     ///
     /// # Errors
     /// The request was aborted before, or the call failed.
--- a/dispatcher/src/wire/upstream/request.rs
+++ b/dispatcher/src/wire/upstream/request.rs
@@ -1,4 +1,4 @@
-//! Upstream requests as they are written.
+//! Writes upstream requests.
 
 use super::phase::SharedPhase;
 use crate::core::{Payload, RequestKind, UpstreamRequest, clock};
@@ -7,12 +7,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// By how much the time that a worker is given is less than what is left, in microseconds: for the network,
-/// and for the time since the clock was read. A dispatcher may be stalled for all of the slack that the
+/// The time budget sent to a worker is the remaining time less this margin, which covers the network latency
+/// and the time since the clock was read. The dispatcher may be stalled for as long as the slack that the
 /// platform allows.
 const DEADLINE_MARGIN: Micros = 20_000;
 
-/// Writes a request. One that is cancelled or aborted meanwhile ends before its last byte.
+/// Writes a request. If the request is cancelled or aborted in the meantime, its last byte is not written.
 ///
 /// # Errors
 /// The connection failed, the deadline passed, or the request was aborted.
--- a/dispatcher/src/wire/upstream/response.rs
+++ b/dispatcher/src/wire/upstream/response.rs
@@ -1,11 +1,11 @@
-//! What the response of an upstream host means.
+//! Converts responses of upstream hosts to events.
 
 use crate::core::{RequestKind, UpstreamEvent};
 use crate::wire::http::{Message, parse_load_report};
 use roselock::Outcome;
 use roselock::settings::Site;
 
-/// What a response to a request of this kind means.
+/// The event for a response to a request of this kind.
 pub(super) fn response_event(kind: &RequestKind, response: &Message, site: &Site) -> UpstreamEvent {
     match kind {
         RequestKind::Withdraw(_) => UpstreamEvent::Withdrawn,
@@ -15,7 +15,7 @@
     }
 }
 
-/// The load report of a health check may come as a header or as the body.
+/// The event for a health check. The load report may be in a header or in the body.
 fn health_event(response: &Message, site: &Site) -> UpstreamEvent {
     let in_header = response.header_value("x-load-report").and_then(parse_load_report);
     let in_body = std::str::from_utf8(response.body()).ok().and_then(parse_load_report);
