--- a/dispatcher/src/wire/connection_limiter.rs
+++ b/dispatcher/src/wire/connection_limiter.rs
@@ -114,7 +114,7 @@
                 serve(stream, peer);
                 limiter.open.fetch_sub(1, Ordering::SeqCst);
             });
-            // Lets the coroutine read what has already arrived before the next connection is accepted.
+            // Lets the coroutine read what has arrived with the connection before the next one is accepted.
             may::coroutine::yield_now();
             if open_before >= self.max_connections {
                 self.shed_one();
--- a/dispatcher/src/wire/ipfix/settings.rs
+++ b/dispatcher/src/wire/ipfix/settings.rs
@@ -6,7 +6,7 @@
 
 /// The settings of the IPFIX export, whose presence enables it.
 #[derive(Clone, Debug, Deserialize)]
-// `check-config` prints this text where the section is not a table.
+// `check-config` prints this text if the section is not a table.
 #[serde(deny_unknown_fields, expecting = "struct File")]
 pub struct IpfixSettings {
     /// The address of the collector.
--- a/dispatcher/src/wire/socket.rs
+++ b/dispatcher/src/wire/socket.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a connection could not be opened.
+/// The reason why a connection could not be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
     /// The machine is out of a resource (descriptors, ports, memory), or the call was interrupted. This is
--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -143,7 +143,6 @@
         }
     }
 
-    /// Opens the connection.
     fn open_connection(&self, request: &UpstreamRequest) -> Result<OpenConnection, OpenError> {
         let opened_at = clock::now();
         let socket = self.connect(request)?;
--- a/dispatcher/src/wire/upstream/request.rs
+++ b/dispatcher/src/wire/upstream/request.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 /// The time budget sent to a worker is the remaining time less this margin, which covers the network latency
-/// and the time since the clock was read. The dispatcher may be stalled for as long as the slack that the
-/// platform allows.
+/// and the time since the clock was read: in between, the dispatcher may be stalled for all of the slack that
+/// the platform allows.
 const DEADLINE_MARGIN: Micros = 20_000;
 
 /// Writes a request. If the request is cancelled or aborted in the meantime, its last byte is not written.
