--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,12 +1,12 @@
-//! Admission: what a job is taken to be when it arrives, and by how much its weight counts.
+//! Admission: the estimated work, deadline and priority weight that a job is given on arrival.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::Job;
 
 impl Dispatcher {
-    /// Takes a new job. Rule 1: each job carries its own timer, a tick early, so that the answer is never
-    /// late.
+    /// Admits a new job. Rule 1: each job has its own deadline timer, which fires a tick early so that the
+    /// final answer is never late.
     pub(crate) fn admit(&mut self, request: &JobRequest, out: &mut Vec<Action>) {
         let class = request.class.0 as usize;
         if class >= self.settings.classes.len() || self.jobs.get(request.job).is_some() {
@@ -45,7 +45,7 @@
         self.jobs.insert_waiting(request.job, job);
     }
 
-    /// The priority weight of a job of a class.
+    /// Priority weight of a job of `class` with `work` seconds of work.
     fn priority_weight(&self, class: usize, work: f64) -> f64 {
         let weight = self.settings.classes[class].priority_weight;
         weight * if self.settings.weighted_by_work { work } else { 1.0 }
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what follows from a list, from the end of a watch, and from a suspension by hand.
+//! The endpoint list: applying lists, ended watches and operator suspensions to the known workers.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
@@ -11,18 +11,18 @@
 use std::collections::BTreeSet;
 
 impl Dispatcher {
-    /// A list of endpoints came, from discovery or from the cache.
+    /// Handles an endpoint list from discovery or from the cache.
     pub(crate) fn list_received(&mut self, mode: ListMode, endpoints: &[Endpoint], out: &mut Vec<Action>) {
         let from_discovery = mode != ListMode::Cached;
         if from_discovery && self.discovery.record_answer(self.now) {
-            self.end_care_of_unconfirmed_list();
+            self.lift_initial_ejections();
         }
         self.apply_list(mode, endpoints, out);
         self.discovery.synchronized |= from_discovery;
     }
 
-    /// Workers that were put off only because the list was unconfirmed take jobs from now on.
-    fn end_care_of_unconfirmed_list(&mut self) {
+    /// Lifts the initial ejection of the workers that were ejected only because the list was unconfirmed.
+    fn lift_initial_ejections(&mut self) {
         for worker in &mut self.workers {
             if worker.health.ejection_backoff == 0 {
                 worker.health.ejected_until = None;
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Polls again, more slowly so as not to crowd discovery, but within the notification deadline.
+    /// Schedules the next poll: backed off to limit the load on discovery, but within the notification
+    /// deadline.
     pub(crate) fn watch_ended(&mut self, end: WatchEnd, out: &mut Vec<Action>) {
         let parameters = self.settings.poll_parameters();
         let draw = self.rng.rand_float();
@@ -40,7 +41,7 @@
         out.push(Action::Timer { delay, token: POLL_TOKEN });
     }
 
-    /// Applies a list, with suspended workers draining.
+    /// Applies a list in which suspended workers count as draining.
     fn apply_list(&mut self, mode: ListMode, endpoints: &[Endpoint], out: &mut Vec<Action>) {
         if self.discovery.suspended.is_empty() {
             return self.update_workers(mode, endpoints, out);
@@ -49,7 +50,7 @@
         self.update_workers(mode, &applied, out);
     }
 
-    /// Suspends a worker by hand; a second call changes nothing.
+    /// Suspends a worker on an operator's request. Idempotent.
     pub(crate) fn suspend(&mut self, worker: WorkerId, out: &mut Vec<Action>) {
         if self.discovery.suspended.contains_key(&worker) {
             return;
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Ends a suspension: the worker is again what the list said of it last; a second call changes nothing.
-    pub(crate) fn resume(&mut self, worker: WorkerId, out: &mut Vec<Action>) {
+    /// Ends a suspension: the worker returns to its last listed state. Idempotent.
+    pub(crate) fn restore(&mut self, worker: WorkerId, out: &mut Vec<Action>) {
         let Some(Some(state)) = self.discovery.suspended.remove(&worker) else { return };
         let Some(endpoint) = self.listed_endpoint(worker) else { return };
         self.update_workers(ListMode::Changes, &[Endpoint { state, ..endpoint }], out);
@@ -73,7 +74,8 @@
         Some(self.workers[index].listed.clone())
     }
 
-    /// Updates the workers. Rule 7: a drain closes what is idle; what is in flight closes with its outcome.
+    /// Updates the workers from a list. Rule 7: idle connections to a draining worker are closed at once,
+    /// those with an attempt in flight when it ends.
     fn update_workers(&mut self, mode: ListMode, endpoints: &[Endpoint], out: &mut Vec<Action>) {
         let mut order_changed = mode.is_complete();
         if mode.is_complete() {
@@ -86,7 +88,7 @@
         for endpoint in endpoints {
             let known = self.worker_index.get(&endpoint.worker).copied();
             match known.filter(|index| endpoint.started_at == self.workers[*index].listed.started_at) {
-                Some(index) => order_changed |= self.refresh_worker(index, endpoint),
+                Some(index) => order_changed |= self.update_worker(index, endpoint),
                 None => {
                     let initial = *initial.get_or_insert_with(|| self.initial_estimates());
                     self.add_worker(known, endpoint, initial);
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Takes a new line of a known process; whether its place in the order changes.
-    fn refresh_worker(&mut self, index: usize, endpoint: &Endpoint) -> bool {
+    /// Applies a list entry of a known process. Returns whether the order has to be rebuilt.
+    fn update_worker(&mut self, index: usize, endpoint: &Endpoint) -> bool {
         let mean_run_time = if self.settings.units_fall_with_load { self.mean_run_time() } else { 0.0 };
         let worker = &mut self.workers[index];
         let ready = endpoint.state == EndpointState::Ready;
@@ -115,23 +117,24 @@
         worker.listed = endpoint.clone();
         let report_age = self.now - worker.capacity[SLOT].updated_at;
         if self.settings.units_fall_with_load && report_age > (mean_run_time / 2.0) as Micros {
-            let slots = self.slots_of_kind.entry(endpoint.kind).or_insert(0.0);
+            let slots = self.max_slots_by_kind.entry(endpoint.kind).or_insert(0.0);
             *slots = slots.max(worker.capacity[SLOT].total);
             worker.apply_listed_units(*slots, self.now);
         }
         order_changed
     }
 
-    /// Adds a worker, or replaces a `known` one whose process is new. What was learned of the old process and
-    /// what it held is void; what was sent to it recently still counts.
+    /// Adds a worker, or replaces a `known` one whose process is new. Estimates and bookings of the old
+    /// process are discarded; the recent sends to it still count.
     fn add_worker(&mut self, known: Option<usize>, endpoint: &Endpoint, initial: InitialEstimates) {
         let mut worker = Worker::new(endpoint, initial, self.now);
-        // A changed time is a start, whatever it says; one that was long ago when first listed is none.
+        // A changed start time means a restart, whatever its value. A worker first listed without a start
+        // time has been up for long.
         let has_started = known.is_some() || endpoint.started_at.is_some();
         worker.started_at =
             if has_started { self.discovery.start_time(endpoint.started_at, self.now) } else { None };
         if self.discovery.unconfirmed {
-            // Tried by one job first.
+            // Ejected until now, so that the first job is a trial.
             worker.health.ejected_until = Some(self.now);
         }
         let index = known.unwrap_or(self.workers.len());
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Mean capacity and prices of the ready workers, or a first guess.
+    /// Mean capacity and prices of the ready workers, or defaults if there are none.
     fn initial_estimates(&self) -> InitialEstimates {
         let ready: Vec<&Worker> = self.workers.iter().filter(|worker| worker.ready).collect();
         let count = ready.len() as f64;
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Closes the idle connections to a worker that is draining or gone, where the site asks for it.
+    /// Closes the idle connections to a worker that is draining or gone, where the site requires it.
     pub(crate) fn close_if_draining(&mut self, index: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[index];
         if self.settings.safety.drain_close_timeout.is_none() || worker.ready {
--- a/src/decisions/migration.rs
+++ b/src/decisions/migration.rs
@@ -1,4 +1,4 @@
-//! Migration: an attempt that has not started is withdrawn, so that its job goes to another worker.
+//! Migration: withdraws an attempt that has not started, so that its job can go to another worker.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
@@ -6,8 +6,8 @@
 use crate::state::jobs::Job;
 
 impl Dispatcher {
-    /// Whether an attempt of the job may be withdrawn before its start: where others fill workers unseen by
-    /// us.
+    /// Whether an attempt of the job may be withdrawn before it starts. This applies only in a fleet, where
+    /// other dispatchers fill workers unseen by this one.
     pub(crate) fn may_migrate(&self, job: &Job) -> bool {
         let limits = &self.settings.limits;
         limits.cancel
@@ -18,9 +18,10 @@
             && job.attempts.len() < limits.max_attempts as usize
     }
 
-    /// Load reports are old, and all dispatchers act on them: a job that may be repeated does not wait long
-    /// at a full worker.
-    pub(crate) fn withdraw_stalled(&mut self, out: &mut Vec<Action>) {
+    /// Withdraws attempts that have passed their start timeout. Load reports are old and all dispatchers act
+    /// on the same ones, so a worker may be full on arrival; a job that may be repeated does not wait there
+    /// for long.
+    pub(crate) fn withdraw_stalled_attempts(&mut self, out: &mut Vec<Action>) {
         let mut stalled = Vec::new();
         for (id, job) in &self.jobs.by_id {
             if self.is_stalled(job) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Whether the latest attempt has passed its start timeout, and another worker is left to go to.
+    /// Whether the latest attempt has passed its start timeout and a worker not yet tried is left.
     fn is_stalled(&self, job: &Job) -> bool {
         let Some(latest) = job.attempts.last() else { return false };
         let is_unstarted = latest.holds_booking() && latest.started_at.is_none() && !latest.withdrawn;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,8 +1,10 @@
-//! The decisions, one a file, as methods of [`crate::Dispatcher`].
+//! The decisions, one per file, as methods of [`crate::Dispatcher`].
 //!
-//! Bid-price control after "Online Linear Programming for Multi-Objective Routing in LLM Serving": payoff on
-//! a worker less prices along the run is a margin; the highest positive ones are sent first, within the
-//! residual capacity.
+//! Bid-price control as in the paper "Online Linear Programming for Multi-Objective Routing in LLM Serving":
+//! the margin of a job at a worker is its payoff there minus the prices along its run. Jobs with the highest
+//! positive margins are sent first, within the residual capacity.
+//!
+//! The rule numbers in comments are those of `tests/rules.rs`.
 
 mod admission;
 mod candidates;
--- a/src/decisions/outliers.rs
+++ b/src/decisions/outliers.rs
@@ -1,18 +1,19 @@
-//! Outliers: ejection of silent or unreachable workers, health checks, and inferred restarts.
+//! Outliers: ejection of unresponsive or unreachable workers, health checks, and inferred restarts.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::resources::SLOT;
 use crate::state::workers::Worker;
 
-/// Failures of workers within this span, in microseconds, are one event.
+/// Failures of workers within this time, in microseconds, count as one event.
 const CORRELATED_FAILURE_WINDOW: Micros = SECOND / 2;
-/// Least number of failed workers that speak for a failure of their whole zone or kind.
+/// Minimum number of failed workers from which a failure of their whole zone or kind is inferred.
 const MIN_CORRELATED_FAILURES: usize = 3;
 
 impl Dispatcher {
-    /// Ejects a silent or unreachable worker: no sends for a while, then trials. These go on new connections,
-    /// as one that doesn't come up proves that the job never ran.
+    /// Ejects an unresponsive or unreachable worker: it is sent nothing during a backoff, then trial jobs.
+    /// Idle connections are closed so that trials use new ones: if a new connection cannot be established,
+    /// that proves that the job never ran.
     pub(crate) fn eject(&mut self, index: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[index];
         if worker.health.ejected_until.is_some_and(|until| until > self.now) {
@@ -29,19 +30,19 @@
         }
     }
 
-    /// A worker has answered a health check.
+    /// Handles a passed health check.
     pub(crate) fn health_check_passed(&mut self, worker: WorkerId, report: &LoadReport) {
         let Some(&index) = self.worker_index.get(&worker) else { return };
         let worker = &mut self.workers[index];
-        // A process that died is not back so soon: it was up all the time.
+        // A process that died cannot be back within this window, so it was up all the time.
         let recently_down = worker.health.down_within(CORRELATED_FAILURE_WINDOW, self.now);
         worker.record_response(recently_down.unwrap_or(self.now), self.now);
         worker.apply_report(report, self.now);
     }
 
-    /// A worker's process reset a connection or refuses them: it comes back warming up before the list says
-    /// so, and all dispatchers would overload it. So the slow-start budget holds from now on; for its zone or
-    /// kind too, if most of that failed.
+    /// Infers a restart of a worker that reset or refused a connection. It may be back and warming up before
+    /// the list says so, and all dispatchers together would overload it, so the slow-start budget applies
+    /// from now on. It also applies to the worker's whole zone or kind if most of that has failed.
     pub(crate) fn infer_restart(&mut self, index: usize) {
         let health = &mut self.workers[index].health;
         health.down_at = Some(self.now);
@@ -51,7 +52,8 @@
         self.infer_group_restart(|worker| worker.listed.kind == failed.kind);
     }
 
-    /// Infers a restart of all members of a group, if as many of them failed as still hold jobs of ours.
+    /// Infers a restart of a whole group if at least as many of its members failed as others hold jobs of
+    /// this dispatcher.
     fn infer_group_restart(&mut self, is_member: impl Fn(&Worker) -> bool) {
         let mut failed = 0;
         let mut holding = 0;
--- a/src/decisions/payoff.rs
+++ b/src/decisions/payoff.rs
@@ -1,4 +1,4 @@
-//! Payoff: the value of starting a job on a worker now, from the probabilities that its answer is of use.
+//! Payoff: the value of starting a job on a worker now, based on the probability of a useful answer.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
@@ -6,22 +6,23 @@
 use crate::state::prices::WINDOW;
 use crate::state::workers::Worker;
 
-/// Weight of saved steps (β, γ); small, as the next: they order what is otherwise equal.
+/// Weight of saved ticks (β, γ). Like the next weight it is small: both only rank otherwise equal choices.
 const SAVED_STEPS_WEIGHT: f64 = 0.05;
-/// Weight of a start early in the latency objective (ζ2).
+/// Bonus for a start early within the latency objective (ζ2).
 const EARLY_START_BONUS: f64 = 0.05;
-/// Part of the latency objective that counts as early (t2').
+/// Fraction of the latency objective that counts as early (t2').
 const EARLY_START_FRACTION: f64 = 0.5;
 /// Payoff of any start (σ).
 const START_PAYOFF: f64 = 0.02;
-/// Cost of an answer after the latency objective where the slow end counts, in priority weights of the job.
+/// Cost of missing the latency objective where the site scores tail latency, in priority weights of the job.
 const TAIL_MISS_COST: f64 = 1.0;
-/// Probability that data is missing at its first and second cache location.
-const CACHE_LOCATION_MISS: [f64; 2] = [0.3, 0.7];
-/// Probability that data is missing where we sent its key: others may have evicted it.
-const RECENT_KEY_MISS: f64 = 0.4;
-/// Probability that a hinted job whose run would exceed its client's time is answered nevertheless.
-const LATE_HINTED_PROBABILITY: f64 = 0.1;
+/// Probabilities that a job's data is missing at its first and at its second cache location.
+const CACHE_LOCATION_MISS_PROBABILITY: [f64; 2] = [0.3, 0.7];
+/// Probability that data is missing at a worker that was sent its key recently: other data may have evicted
+/// it.
+const RECENT_KEY_MISS_PROBABILITY: f64 = 0.4;
+/// Probability that a hinted job is answered in time although its expected run exceeds the client's deadline.
+const LATE_HINTED_ANSWER_PROBABILITY: f64 = 0.1;
 
 /// The value of starting a job on a worker now.
 pub(crate) struct Payoff {
@@ -31,32 +32,33 @@
     pub(crate) ticks: f64,
 }
 
-/// How likely the answer of a job is of use.
+/// Probabilities that the answer of a job is of use.
 pub(crate) struct SuccessProbabilities {
-    /// It ends within the latency objective.
-    pub(crate) in_time: f64,
-    /// It ends before the client's deadline.
+    /// The job ends within its latency objective.
+    pub(crate) within_objective: f64,
+    /// The job ends before the client's deadline.
     pub(crate) before_deadline: f64,
 }
 
 impl Dispatcher {
-    /// The paper's terms, with the priority weight for its weights; its end-to-end indicator is taken at its
-    /// probability under the learned start delay.
+    /// The payoff of starting a job on a worker now: the terms of the paper that [`super`] names, scaled by
+    /// the job's priority weight. Its end-to-end indicator is replaced by the probability under the learned
+    /// start delay.
     pub(crate) fn payoff(&self, job: &Job, index: usize) -> Payoff {
         let worker = &self.workers[index];
         let snapshot = &worker.snapshot;
         let costs = &self.settings.costs;
-        // With the best candidate taken as 1, a fault of all workers alike locks none of them out.
+        // Relative to the best candidate, which counts as 1: a fault of all workers alike excludes none of them.
         let success = snapshot.success / self.placement.best_success;
-        let fees = snapshot.fees + self.fetch_fee(job, worker, index);
+        let fees = snapshot.fees + self.expected_fetch_cost(job, worker, index);
         let ticks = job.work * snapshot.run_time_per_work / self.prices.tick as f64;
         let late_fraction = self.settings.classes[job.class].late_answer_fraction;
         let probabilities = self.success_probabilities(job, snapshot.run_time_per_work, snapshot.start_delay);
-        let SuccessProbabilities { in_time, before_deadline } = probabilities;
+        let SuccessProbabilities { within_objective, before_deadline } = probabilities;
         if self.has_live_attempt(job) {
-            // Beside an attempt on a live worker another adds only the probability of being in time, at its
-            // work.
-            let gain = (1.0 - late_fraction) * in_time * before_deadline * success;
+            // Beside an attempt on a live worker, another one adds only a chance of meeting the latency
+            // objective, at the cost of its work.
+            let gain = (1.0 - late_fraction) * within_objective * before_deadline * success;
             let value = job.relative_weight * (gain - costs.wasted_work) - fees;
             return Payoff { value, ticks };
         }
@@ -65,25 +67,25 @@
         let saved = SAVED_STEPS_WEIGHT * ((window_left - ticks).max(0.0) + window_left) / (2.0 * WINDOW);
         let early_start = if self.starts_early(job) { EARLY_START_BONUS } else { 0.0 };
         let tail_miss = match self.settings.tail_miss_fraction {
-            Some(_) => TAIL_MISS_COST * (1.0 - in_time * before_deadline),
+            Some(_) => TAIL_MISS_COST * (1.0 - within_objective * before_deadline),
             None => 0.0,
         };
-        let timely = (1.0 - late_fraction) * in_time * before_deadline;
+        let timely = (1.0 - late_fraction) * within_objective * before_deadline;
         let gain = throughput + timely + saved + early_start - tail_miss;
         let expected = success * gain - (1.0 - success) * costs.late_failure;
         Payoff { value: job.relative_weight * expected + START_PAYOFF - fees, ticks }
     }
 
-    /// Expected cost of fetching the job's data from its origin, in mean priority weights.
-    fn fetch_fee(&self, job: &Job, worker: &Worker, index: usize) -> f64 {
+    /// Expected cost of fetching a job's data from its origin, in mean priority weights.
+    fn expected_fetch_cost(&self, job: &Job, worker: &Worker, index: usize) -> f64 {
         let Some(key) = job.key else { return 0.0 };
         let location = job.cached_on.iter().position(|cached_on| *cached_on == Some(index));
-        let miss_there = location.map_or(1.0, |location| CACHE_LOCATION_MISS[location]);
-        let miss_of_key = if worker.remembers_key(key) { RECENT_KEY_MISS } else { 1.0 };
-        self.settings.costs.origin_fetch * miss_there * miss_of_key
+        let location_miss = location.map_or(1.0, |location| CACHE_LOCATION_MISS_PROBABILITY[location]);
+        let key_miss = if worker.remembers_key(key) { RECENT_KEY_MISS_PROBABILITY } else { 1.0 };
+        self.settings.costs.origin_fetch * location_miss * key_miss
     }
 
-    /// Whether an attempt of the job is in flight at a worker that is not ejected.
+    /// Whether the job has an attempt in flight at a worker that is not ejected.
     fn has_live_attempt(&self, job: &Job) -> bool {
         job.in_flight().any(|attempt| !self.workers[attempt.worker].health.is_ejected())
     }
@@ -93,14 +95,14 @@
         (self.prices.window_end - now + 1.0).max(1.0)
     }
 
-    /// Whether a start now is early in the job's latency objective.
+    /// Whether a start now would be early within the job's latency objective.
     fn starts_early(&self, job: &Job) -> bool {
         let class = &self.settings.classes[job.class];
         let objective = class.latency_objective as f64 + class.objective_per_work * job.work * SECOND as f64;
         self.now as f64 - job.first_asked_at as f64 <= EARLY_START_FRACTION * objective
     }
 
-    /// Probabilities for a job that starts after `start_delay` microseconds at a worker that takes
+    /// Success probabilities of a job that starts after `start_delay` microseconds at a worker that takes
     /// `run_time_per_work` microseconds for one second's work.
     pub(crate) fn success_probabilities(
         &self,
@@ -110,34 +112,34 @@
     ) -> SuccessProbabilities {
         let class = &self.settings.classes[job.class];
         let now = self.now as f64;
-        let spent = now - job.first_asked_at as f64;
-        let left = job.deadline as f64 - now;
-        let objective_left = class.latency_objective as f64 - spent - start_delay;
+        let elapsed = now - job.first_asked_at as f64;
+        let time_left = job.deadline as f64 - now;
+        let objective_left = class.latency_objective as f64 - elapsed - start_delay;
         if job.hinted {
             let run = job.work * run_time_per_work;
             let slack = objective_left + class.objective_per_work * job.work * SECOND as f64 - run;
-            let spread = 0.2 * run + 0.5 * start_delay + 2.0 * self.settings.tick as f64;
-            let is_before_deadline = run + start_delay < left;
+            let uncertainty = 0.2 * run + 0.5 * start_delay + 2.0 * self.settings.tick as f64;
+            let is_before_deadline = run + start_delay < time_left;
             return SuccessProbabilities {
-                in_time: 1.0 / (1.0 + (-slack / spread).exp()),
-                before_deadline: if is_before_deadline { 1.0 } else { LATE_HINTED_PROBABILITY },
+                within_objective: 1.0 / (1.0 + (-slack / uncertainty).exp()),
+                before_deadline: if is_before_deadline { 1.0 } else { LATE_HINTED_ANSWER_PROBABILITY },
             };
         }
-        // Without a hint the work is any of its class: a short job has the smaller objective, a long one less
-        // time.
+        // Without a hint the work follows the distribution of the class: the shorter the job, the smaller its
+        // latency objective; the longer the job, the less time is left before the deadline.
         let distribution = &self.work.classes[job.class].distribution;
         let gain = class.objective_per_work * SECOND as f64 - run_time_per_work;
-        let ends = distribution.probability_below((left - start_delay) / run_time_per_work);
-        let in_time = if objective_left >= 0.0 && gain >= 0.0 {
-            ends
+        let before_deadline = distribution.probability_below((time_left - start_delay) / run_time_per_work);
+        let within_objective = if objective_left >= 0.0 && gain >= 0.0 {
+            before_deadline
         } else if objective_left >= 0.0 {
-            ends.min(distribution.probability_below(objective_left / -gain))
+            before_deadline.min(distribution.probability_below(objective_left / -gain))
         } else if gain >= 0.0 {
-            (ends - distribution.probability_below(-objective_left / gain)).max(0.0)
+            (before_deadline - distribution.probability_below(-objective_left / gain)).max(0.0)
         } else {
             0.0
         };
-        SuccessProbabilities { in_time, before_deadline: ends.max(in_time) }
+        SuccessProbabilities { within_objective, before_deadline: before_deadline.max(within_objective) }
     }
 }
 
--- a/src/decisions/price_updates.rs
+++ b/src/decisions/price_updates.rs
@@ -1,18 +1,19 @@
-//! Price updates: projected gradient steps on sampled columns of the history.
+//! Price updates by projected gradient steps on columns sampled from the history.
 
 use crate::dispatcher::Dispatcher;
 use crate::state::prices::{GradientStep, HORIZON, ResourceTimeline, add_column};
 use crate::state::resources::RESOURCES;
 use std::collections::BTreeSet;
 
-/// Columns sampled for each step.
-const SAMPLE: usize = 8;
-/// Steps for each update; with the sample they take a few microseconds.
-const STEPS: usize = 2;
-/// η, in mean priority weights of a slot for a tick: a price crosses its range in a dozen steps.
+/// Columns sampled per gradient step.
+const SAMPLE_SIZE: usize = 8;
+/// Gradient steps per update. At this sample size they take a few microseconds.
+const STEPS_PER_UPDATE: usize = 2;
+/// Learning rate η, in mean priority weights per slot and tick: a price crosses its range in about a dozen
+/// steps.
 const LEARNING_RATE: f64 = 0.1;
 
-/// A column of the history that is taken to start at a tick of the look-ahead.
+/// A column of the history, assumed to start at some tick of the look-ahead.
 struct SampledColumn {
     /// Index into the history.
     column: usize,
@@ -20,20 +21,20 @@
 }
 
 impl Dispatcher {
-    /// Warm-started projected steps p <- (p - eta (d - S/n))+. Sampled columns stand for starts to come, each
-    /// at a random tick of the look-ahead.
+    /// Updates the prices by warm-started projected gradient steps p <- (p - eta (d - S/n))+. Sampled columns
+    /// stand for future starts, each at a random tick of the look-ahead.
     pub(crate) fn update_prices(&mut self) {
         let passed = self.prices.advance(self.now);
         for &index in &self.prices.active_workers {
             self.workers[index].prices.advance(passed);
         }
-        let columns = self.prices.history.len().min(SAMPLE);
-        let mut batches = Vec::with_capacity(STEPS);
-        for _ in 0..STEPS {
+        let columns = self.prices.history.len().min(SAMPLE_SIZE);
+        let mut batches = Vec::with_capacity(STEPS_PER_UPDATE);
+        for _ in 0..STEPS_PER_UPDATE {
             batches.push(self.draw_columns(columns));
         }
         self.select_active_workers(&batches);
-        self.find_residuals();
+        self.update_residual_capacity();
         let horizon = HORIZON as f64 * self.prices.tick as f64;
         let arrivals = self.arrivals.recent_rate(self.now) * horizon;
         let step = GradientStep {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// `count` different columns of the history, each at a random tick of the look-ahead.
+    /// Samples `count` distinct columns of the history, each at a random tick of the look-ahead.
     fn draw_columns(&mut self, count: usize) -> Vec<SampledColumn> {
         let length = self.prices.history.len();
         let mut order: Vec<usize> = (0..length).collect();
@@ -65,7 +66,8 @@
         sampled
     }
 
-    /// A price of 0 that no column asks for stays at 0: a large fleet costs only its busy part.
+    /// Selects the workers to update: a price of 0 without a sampled column stays at 0, so the cost of an
+    /// update depends only on the busy part of a large fleet.
     fn select_active_workers(&mut self, batches: &[Vec<SampledColumn>]) {
         let mut active = BTreeSet::new();
         for &index in &self.prices.active_workers {
@@ -79,16 +81,16 @@
         self.prices.active_workers = active.into_iter().collect();
     }
 
-    /// Capacity left on each active worker along the look-ahead, in whole slots: own bookings end when
-    /// expected.
-    fn find_residuals(&mut self) {
+    /// Computes the capacity left on each active worker along the look-ahead, in whole slots. Own bookings
+    /// are assumed to end when expected.
+    fn update_residual_capacity(&mut self) {
         let mean_run_time = self.mean_run_time();
         for &index in &self.prices.active_workers {
             let worker = &mut self.workers[index];
-            let open = if worker.ready && !worker.health.is_ejected() { 1.0 } else { 0.0 };
+            let is_available = if worker.ready && !worker.health.is_ejected() { 1.0 } else { 0.0 };
             let capacity =
                 RESOURCES.map(|resource| worker.capacity[resource].current(self.now, mean_run_time).round());
-            worker.prices.residual = capacity.map(|capacity| [open * capacity; HORIZON]);
+            worker.prices.residual = capacity.map(|capacity| [is_available * capacity; HORIZON]);
         }
         for job in self.jobs.by_id.values() {
             for attempt in job.attempts.iter().filter(|attempt| attempt.booked) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Adds the columns of a batch whose payoff exceeds their price to the use of their workers.
+    /// Adds each column of a batch whose payoff exceeds its cost to the use of its worker.
     fn add_profitable_columns(&mut self, batch: &[SampledColumn]) {
         for sampled in batch {
             let column = &self.prices.history[sampled.column];
--- a/src/decisions/progress.rs
+++ b/src/decisions/progress.rs
@@ -5,13 +5,14 @@
 use crate::state::capacity::StartEvidence;
 use crate::state::placement::START_DELAY_MEMORY;
 
-/// Weight of a run time extrapolated from progress, at the end of the run.
+/// Weight of a run time extrapolated from progress, scaled by the fraction that is done.
 const PROGRESS_WEIGHT: f64 = 0.5;
-/// Part by which the quickest start grows with each start, as ways may have become longer.
-const QUICKEST_START_GROWTH: Micros = 32;
+/// With each start the minimum start delay of its zone grows by one part in this many, because network paths
+/// may have become longer.
+const MIN_START_DELAY_GROWTH_DIVISOR: Micros = 32;
 
 impl Dispatcher {
-    /// A worker reports the start or the progress of an attempt.
+    /// Handles a report of the start or the progress of an attempt.
     pub(crate) fn attempt_progressed(&mut self, id: JobId, number: u32, update: AttemptUpdate) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -24,7 +25,7 @@
         match update {
             AttemptUpdate::Started => {
                 let newly_started = attempt.started_at.replace(now).is_none();
-                let started = Started {
+                let started = StartReport {
                     worker: attempt.worker,
                     delay: now - attempt.sent_at,
                     booked_before: attempt.booked_before,
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Learns from the start of an attempt.
-    fn attempt_started(&mut self, started: &Started) {
+    /// Updates the estimates with the start of an attempt.
+    fn attempt_started(&mut self, started: &StartReport) {
         let now = self.now;
         let worker = &mut self.workers[started.worker];
         if let Some(need) = started.newly_booked
@@ -57,8 +58,8 @@
             worker.bookings.start(need, now);
         }
         worker.timing.head_of_line_wait = 0.0;
-        let quickest = self.quickest_start.entry(worker.listed.zone).or_insert(started.delay);
-        *quickest = (*quickest + *quickest / QUICKEST_START_GROWTH + 1).min(started.delay);
+        let min_delay = self.min_start_delay.entry(worker.listed.zone).or_insert(started.delay);
+        *min_delay = (*min_delay + *min_delay / MIN_START_DELAY_GROWTH_DIVISOR + 1).min(started.delay);
         let delay = started.delay as f64;
         worker.timing.start_delay.add(delay, 1.0, now, START_DELAY_MEMORY);
         if started.booked_before == 0.0 {
@@ -71,13 +72,13 @@
     }
 }
 
-/// The start of an attempt.
-struct Started {
+/// A reported start of an attempt.
+struct StartReport {
     /// Index of the worker.
     worker: usize,
     /// Microseconds since the send.
     delay: Micros,
     booked_before: f64,
-    /// What the job holds, if this is the first report of its start and its booking counts.
+    /// The need of the job, if this is the first report of its start and its booking still counts.
     newly_booked: Option<[f64; 2]>,
 }
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -1,6 +1,6 @@
-//! The release pass: ranks the margins of waiting jobs, and sends those with the highest positive ones.
+//! The release pass: ranks waiting jobs by margin and sends those with the highest positive margins.
 
-use super::snapshots::TRIAL_BELOW;
+use super::snapshots::TRIAL_THRESHOLD;
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::Job;
@@ -8,53 +8,53 @@
 use crate::state::resources::{RESOURCES, SLOT};
 use std::collections::BTreeSet;
 
-/// The newest waiting jobs that one pass looks at: in an overload older ones are late.
-const MAX_SCAN: usize = 64;
-/// Age, in mean runs, from which a figure of free capacity is verified by a health check.
+/// Maximum number of waiting jobs that a pass scans, newest first: under overload older ones are late.
+const MAX_SCANNED_JOBS: usize = 64;
+/// Age, in mean run times, beyond which a figure of free capacity is verified by a health check.
 const STALE_AFTER_RUNS: f64 = 0.25;
-/// Mean runs after which a job may return to a worker that it was withdrawn from.
-const WITHDRAWN_RETURN_RUNS: f64 = 4.0;
-/// Capacity that rounding may lack.
-const CAPACITY_ROUNDING: f64 = 1e-9;
+/// Mean run times after which a job may be sent again to a worker from which it was withdrawn.
+const WITHDRAWN_RETRY_DELAY_RUNS: f64 = 4.0;
+/// Tolerance for rounding errors when a need is compared with free capacity.
+const CAPACITY_TOLERANCE: f64 = 1e-9;
 
-/// A job that may be sent to a worker.
+/// A permitted send of a job to a worker, with its rank.
 struct RankedSend {
     margin: f64,
-    /// Drawn at random.
+    /// Random number that orders sends of equal margin.
     tie_breaker: u64,
     job: JobId,
     /// Index of the worker.
     worker: usize,
 }
 
-/// A job on a worker, as one pass sees it.
+/// The evaluation of a job at a worker in one pass.
 struct Evaluation {
     margin: f64,
     column: HistoryColumn,
     may_send: bool,
 }
 
-/// What to do with a job at the head of the ranking.
-enum Freshness {
-    /// The figure of the worker's free capacity is recent enough to send by.
+/// Whether a worker's free capacity is known well enough to send a job there.
+enum CapacityFreshness {
+    /// The figure is recent enough.
     Fresh,
-    /// It is too old: a health check verifies it first.
+    /// The figure is too old and has to be verified by a health check first.
     Stale,
-    /// A health check is under way.
-    BeingChecked,
+    /// A health check was sent only recently; its result is awaited.
+    CheckPending,
 }
 
 impl Dispatcher {
-    /// One pass over the waiting jobs; a full one, with new prices, is made every half tick.
+    /// Runs one pass over the waiting jobs. Every half tick it is a full pass, which also updates the prices.
     pub(crate) fn release(&mut self, out: &mut Vec<Action>) {
         let full = self.prices.update_is_due(self.now);
         self.refresh_candidates(full);
         if full {
             self.prices.updated_at = self.now;
             self.update_prices();
-            self.shed_hopeless(out);
+            self.shed_jobs(out);
         }
-        self.refresh_cache_locations(if full { MAX_SCAN } else { 1 });
+        self.refresh_cache_locations(if full { MAX_SCANNED_JOBS } else { 1 });
         let ranked = self.rank_waiting_jobs(full);
         self.send_ranked(ranked, out);
         for &index in &self.placement.candidates {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Refreshes the snapshots of the workers where the newest waiting jobs find their data.
+    /// Refreshes the snapshots of the workers where the data of the newest waiting jobs is likely cached.
     fn refresh_cache_locations(&mut self, newest: usize) {
         let mut locations = BTreeSet::new();
         for id in self.jobs.waiting.iter().rev().take(newest) {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The sends that the margins of the newest waiting jobs speak for, highest first. The best column goes
-    /// into the history.
+    /// Ranks the sends of the newest waiting jobs that have a positive margin, highest first. Records the
+    /// column with the highest margin in the history.
     fn rank_waiting_jobs(&mut self, full: bool) -> Vec<RankedSend> {
         let mut ranked = Vec::new();
         let mut best: Option<Evaluation> = None;
-        for (position, &id) in self.jobs.waiting.iter().rev().take(MAX_SCAN).enumerate() {
+        for (position, &id) in self.jobs.waiting.iter().rev().take(MAX_SCANNED_JOBS).enumerate() {
             let Some(job) = self.jobs.get(id) else { continue };
             for index in self.placement.workers_for(job.cached_on) {
                 let Some(evaluation) = self.evaluate(job, index, position == 0, full) else { continue };
@@ -102,47 +102,49 @@
         ranked
     }
 
-    /// The margin of a job on a worker; none if neither the worker nor the job changed, or the job doesn't
-    /// fit there. The newest job goes into the history in any case.
+    /// Evaluates a job at a worker. Returns none if neither the worker nor the job has changed, or if the job
+    /// cannot be sent there; the newest job is always evaluated, for the history.
     fn evaluate(&self, job: &Job, index: usize, is_newest: bool, full: bool) -> Option<Evaluation> {
         let worker = &self.workers[index];
         if !worker.ready {
             return None;
         }
-        let has_room = self.has_room(index, job);
+        let is_feasible = self.is_feasible(index, job);
         let is_unchanged = job.arrived_at < self.now && !full && !worker.changed;
-        if !is_newest && (!has_room || is_unchanged) {
+        if !is_newest && (!is_feasible || is_unchanged) {
             return None;
         }
         let payoff = self.payoff(job, index);
         let margin = payoff.value - worker.prices.column_cost(job.need, 0, payoff.ticks);
         let column =
             HistoryColumn { worker: index, payoff: payoff.value, need: job.need, ticks: payoff.ticks };
-        let may_send = margin > 0.0 && has_room && self.may_send(job, index);
+        let may_send = margin > 0.0 && is_feasible && self.may_send(job, index);
         Some(Evaluation { margin, column, may_send })
     }
 
-    /// Whether a worker can start a job now and, as bookings only end, run it; hinted jobs that still earn
-    /// something late may also queue for the next slot.
-    fn has_room(&self, index: usize, job: &Job) -> bool {
+    /// Whether a worker can take a job: it has the capacity, does not reject the job's class, is healthy
+    /// enough for a job that fails on an error, and the job was not withdrawn from it recently.
+    fn is_feasible(&self, index: usize, job: &Job) -> bool {
         let worker = &self.workers[index];
         if !self.has_capacity(index, job) || worker.rejects_class(job.tenant_class, self.now) {
             return false;
         }
-        // What an error ends is not sent as a trial.
-        let ends_with_error =
+        // A job that an error would end is not used as a trial.
+        let fails_on_error =
             matches!(self.settings.classes[job.class].idempotency, Idempotency::NonIdempotent);
-        let is_sound = worker.snapshot.success >= TRIAL_BELOW * self.placement.best_success;
-        if ends_with_error && !is_sound {
+        let is_healthy = worker.snapshot.success >= TRIAL_THRESHOLD * self.placement.best_success;
+        if fails_on_error && !is_healthy {
             return false;
         }
-        let return_delay = (WITHDRAWN_RETURN_RUNS * self.placement.pass.mean_run_time) as Micros;
-        let returns_from = self.now - return_delay;
+        let retry_delay = (WITHDRAWN_RETRY_DELAY_RUNS * self.placement.pass.mean_run_time) as Micros;
+        let blocked_since = self.now - retry_delay;
         !job.attempts
             .iter()
-            .any(|attempt| attempt.withdrawn && attempt.worker == index && attempt.sent_at > returns_from)
+            .any(|attempt| attempt.withdrawn && attempt.worker == index && attempt.sent_at > blocked_since)
     }
 
+    /// Whether a worker has the capacity to start a job now and, since bookings only end, to run it. Hinted
+    /// jobs that still earn something when late may also queue there for the next slot.
     fn has_capacity(&self, index: usize, job: &Job) -> bool {
         let snapshot = &self.workers[index].snapshot;
         let earns_when_late = self.settings.classes[job.class].late_answer_fraction > 0.0;
@@ -152,52 +154,52 @@
         }
         let fits = |resource: usize| {
             let need = job.need[resource];
-            need == 0.0 || need <= snapshot.free[resource] + CAPACITY_ROUNDING
+            need == 0.0 || need <= snapshot.free[resource] + CAPACITY_TOLERANCE
         };
         snapshot.free[SLOT] > 0.0 && RESOURCES.into_iter().all(fits)
     }
 
-    /// Sends the ranked jobs in their order. An old figure of free capacity says little: where allowed, a
-    /// health check comes first, and no other job of the pass gets ahead.
+    /// Sends the ranked jobs in order. An old figure of free capacity is unreliable: where permitted, a
+    /// health check is sent first, and no other job of the pass is sent to that worker before its result.
     fn send_ranked(&mut self, ranked: Vec<RankedSend>, out: &mut Vec<Action>) {
         let stale_after = (STALE_AFTER_RUNS * self.mean_run_time()) as Micros;
         let mut checked_for = BTreeSet::new();
         for RankedSend { job: id, worker: index, .. } in ranked {
             let Some(job) = self.jobs.get(id) else { continue };
-            if !job.waiting || !self.has_room(index, job) {
+            if !job.waiting || !self.is_feasible(index, job) {
                 continue;
             }
-            match self.freshness(job, index, stale_after) {
-                Freshness::Fresh => self.send(id, index, out),
-                Freshness::Stale => {
-                    // One worker for each job and pass: a health check costs, and that of the best worker may
-                    // do.
+            match self.capacity_freshness(job, index, stale_after) {
+                CapacityFreshness::Fresh => self.send(id, index, out),
+                CapacityFreshness::Stale => {
+                    // At most one health check per job and pass: checks have a cost, and the one of the best
+                    // worker may suffice.
                     if checked_for.insert(id) {
                         let worker = &mut self.workers[index];
                         worker.health.checked_at = self.now;
                         out.push(Action::HealthCheck(worker.listed.worker));
                     }
                 }
-                Freshness::BeingChecked => {}
+                CapacityFreshness::CheckPending => {}
             }
         }
     }
 
-    /// Whether the worker's free capacity is known well enough to send the job. A job that may migrate needs
-    /// no check.
-    fn freshness(&self, job: &Job, index: usize, stale_after: Micros) -> Freshness {
+    /// Classifies the age of a worker's free capacity figure for a job. A job that may migrate needs no
+    /// check.
+    fn capacity_freshness(&self, job: &Job, index: usize, stale_after: Micros) -> CapacityFreshness {
         let worker = &self.workers[index];
         let may_check = self.settings.limits.health_checks_allowed && !self.may_migrate(job);
         if !may_check || self.now - worker.capacity[SLOT].updated_at <= stale_after {
-            return Freshness::Fresh;
+            return CapacityFreshness::Fresh;
         }
         let since_check = self.now - worker.health.checked_at;
         if since_check > stale_after {
-            Freshness::Stale
+            CapacityFreshness::Stale
         } else if since_check >= self.prices.tick / 8 {
-            Freshness::Fresh
+            CapacityFreshness::Fresh
         } else {
-            Freshness::BeingChecked
+            CapacityFreshness::CheckPending
         }
     }
 }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -1,32 +1,32 @@
-//! What follows the end of an attempt: what is learned from its outcome, and whether the job is tried again.
+//! The end of an attempt: what is learned from its outcome, and whether the job is retried.
 
 use crate::api::*;
 use crate::dispatcher::{AttemptResult, Dispatcher};
 use crate::state::capacity::StartEvidence;
 use crate::state::jobs::{RunTimeSample, TenantClass};
 
-/// How long a worker that rejected a class beside free slots is taken to reject it, in microseconds.
+/// How long a worker that rejected a class despite free slots is assumed to reject it, in microseconds.
 const CLASS_REJECTION_TTL: Micros = 10 * SECOND;
-/// Free slots in a report from which on a rejection is not for want of slots.
+/// Reported free slots above which a rejection is not attributed to a lack of slots.
 const MIN_FREE_SLOTS: f64 = 0.5;
 
-/// An attempt that has ended, with what its booking was.
+/// An attempt that has ended, with the state of its booking before that.
 struct EndedAttempt {
     /// Index of the worker.
     worker: usize,
     tenant_class: TenantClass,
     booked_before: f64,
-    /// Microseconds since its start, or since the send.
+    /// Microseconds since its start, or since the send if no start was reported.
     elapsed: Micros,
-    /// The worker has said nothing since the send: freeing the booking must not make a vanished worker look
-    /// empty.
-    unheard: bool,
-    /// Its run time, if it ran as far as known.
+    /// The worker has not responded since the send, more than a tick ago. On a timeout it is ejected then,
+    /// since freeing the booking must not make a vanished worker look idle.
+    no_response: bool,
+    /// Its run time, if it is known or assumed to have run.
     run: Option<RunTimeSample>,
 }
 
 impl Dispatcher {
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(crate) fn attempt_ended(
         &mut self,
         id: JobId,
@@ -34,14 +34,14 @@
         result: &AttemptResult,
         out: &mut Vec<Action>,
     ) {
-        let Some(ended) = self.free_attempt(id, number, result) else { return };
+        let Some(ended) = self.finish_attempt(id, number, result) else { return };
         self.learn_from_outcome(&ended, result, out);
-        let is_lost = match result.outcome {
+        let is_unreachable = match result.outcome {
             Outcome::Reset | Outcome::ConnectFailed => true,
-            Outcome::Timeout | Outcome::Cancelled => ended.unheard,
+            Outcome::Timeout | Outcome::Cancelled => ended.no_response,
             _ => false,
         };
-        if is_lost {
+        if is_unreachable {
             self.eject(ended.worker, out);
         }
         self.close_if_draining(ended.worker, out);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Frees the booking of an attempt, and takes the worker's response.
-    fn free_attempt(&mut self, id: JobId, number: u32, result: &AttemptResult) -> Option<EndedAttempt> {
+    /// Marks an attempt as ended, frees its booking, and records the worker's response and load report.
+    fn finish_attempt(&mut self, id: JobId, number: u32, result: &AttemptResult) -> Option<EndedAttempt> {
         let now = self.now;
         let job = self.jobs.by_id.get_mut(&id)?;
         let attempt = job.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight)?;
@@ -74,7 +74,7 @@
         if let Some(need) = freed {
             worker.bookings.free(need, counts_as_running, now);
         }
-        // A report is older than its answer: a job that ran was still in its figures, a rejected one never.
+        // A load report predates the answer: it still counts a job that ran, but never a rejected one.
         if !ran {
             worker.apply_report(result.report, now);
         }
@@ -92,12 +92,12 @@
             tenant_class: job.tenant_class,
             booked_before: attempt.booked_before,
             elapsed,
-            unheard: silent_since_send && elapsed > self.prices.tick,
+            no_response: silent_since_send && elapsed > self.prices.tick,
             run: counts_as_running.then_some(run),
         })
     }
 
-    /// Learns of the worker what the outcome shows.
+    /// Updates the estimates of the worker from the outcome.
     fn learn_from_outcome(&mut self, ended: &EndedAttempt, result: &AttemptResult, out: &mut Vec<Action>) {
         let now = self.now;
         let worker = &mut self.workers[ended.worker];
@@ -109,7 +109,7 @@
                 }
             }
             Outcome::Error => worker.health.record_error(now),
-            // Rejected beside free slots: it is the class of the tenant that the worker rejects.
+            // Rejected despite free slots: the worker rejects this class of the tenant.
             Outcome::Rejected if result.report.free_slots.is_some_and(|free| free > MIN_FREE_SLOTS) => {
                 worker.reject_class(ended.tenant_class, now + CLASS_REJECTION_TTL);
             }
@@ -122,7 +122,8 @@
         }
     }
 
-    /// A reset connection may be a restart: a health check shows.
+    /// Handles a reset connection, which may mean a restart; a health check, where permitted, shows whether
+    /// it does.
     fn connection_reset(&mut self, index: usize, out: &mut Vec<Action>) {
         self.infer_restart(index);
         let worker = &mut self.workers[index];
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Queues the job for one more attempt, where its class and the site allow one; otherwise it is answered
-    /// once nothing is in flight.
+    /// Queues the job for one more attempt if its class and the site allow one. Otherwise it is answered as
+    /// soon as it has no attempt in flight.
     pub(crate) fn retry(&mut self, id: JobId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.ended || job.waiting || job.streaming {
@@ -148,7 +149,7 @@
         if may_retry {
             self.jobs.requeue(id);
         } else if !any_in_flight {
-            self.answer(id, out);
+            self.send_final_answer(id, out);
         }
     }
 }
--- a/src/decisions/send.rs
+++ b/src/decisions/send.rs
@@ -1,5 +1,4 @@
-//! A send: the booking at the worker, the limits of the attempt, and whether it may be withdrawn for want of
-//! a start.
+//! Sends: the booking at the worker, and the start timeout after which the attempt may be withdrawn.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
@@ -8,15 +7,15 @@
 use crate::state::timers::MIGRATION_TOKEN;
 use crate::state::workers::Worker;
 
-/// Microseconds that a worker may take to accept a new connection, beside the way.
+/// Time that a worker may take to accept a new connection, in microseconds, beyond the network delay.
 const CONNECT_ALLOWANCE: Micros = SECOND / 100;
-/// Quickest starts that an attempt may take on a new connection.
-const NEW_CONNECTION_STARTS: f64 = 4.0;
-/// Quickest starts that an attempt may take on an idle connection.
-const IDLE_CONNECTION_STARTS: f64 = 2.0;
+/// Start timeout on a new connection, as a multiple of the minimum start delay.
+const NEW_CONNECTION_START_MULTIPLE: f64 = 4.0;
+/// Start timeout on an idle connection, as a multiple of the minimum start delay.
+const IDLE_CONNECTION_START_MULTIPLE: f64 = 2.0;
 
 impl Dispatcher {
-    /// Sends a job to a worker, if the send guard allows it.
+    /// Sends a job to a worker if the send guard allows it.
     pub(crate) fn send(&mut self, id: JobId, index: usize, out: &mut Vec<Action>) {
         let allowed = self.jobs.get(id).filter(|job| self.may_send(job, index));
         if allowed.is_none() {
@@ -42,7 +41,7 @@
         });
         let slow_start_work = job.work.max(self.work.classes[job.class].mean_work.mean);
         worker.bookings.book(job.need, !self.settings.reports_start, self.now);
-        reserve(worker, job.need);
+        reserve_capacity(worker, job.need);
         worker.connections.idle_since.pop();
         worker.connections.may_be_open = true;
         let remembered_from = self.now - self.settings.safety.overload_window;
@@ -56,26 +55,27 @@
         }
     }
 
-    /// How long an attempt may stay without a start, in microseconds: a few times the quickest start in its
-    /// zone so far, longer on a new connection.
+    /// How long an attempt may go without a start, in microseconds: a multiple of the minimum start delay in
+    /// its zone, longer on a new connection.
     fn start_timeout(&self, worker: &Worker) -> Micros {
-        let quickest = self.quickest_start.get(&worker.listed.zone).copied();
-        let quickest = quickest.unwrap_or(self.prices.tick / 8) as f64;
+        let min_delay = self.min_start_delay.get(&worker.listed.zone).copied();
+        let min_delay = min_delay.unwrap_or(self.prices.tick / 8) as f64;
         let is_new_connection = worker.connections.idle_since.is_empty();
-        let starts = if is_new_connection { NEW_CONNECTION_STARTS } else { IDLE_CONNECTION_STARTS };
+        let multiple =
+            if is_new_connection { NEW_CONNECTION_START_MULTIPLE } else { IDLE_CONNECTION_START_MULTIPLE };
         let connect = if is_new_connection { CONNECT_ALLOWANCE } else { 0 };
-        (quickest * starts) as Micros + 2 * self.settings.tick + connect
+        (min_delay * multiple) as Micros + 2 * self.settings.tick + connect
     }
 }
 
-/// Takes a job's need off the free capacity that the present pass sees.
-fn reserve(worker: &mut Worker, need: [f64; 2]) {
+/// Subtracts a job's need from the free capacity in the worker's snapshot for the current pass.
+fn reserve_capacity(worker: &mut Worker, need: [f64; 2]) {
     for resource in RESOURCES {
         worker.snapshot.free[resource] -= need[resource];
     }
     worker.health.trial_in_flight = worker.health.is_ejected();
     if worker.snapshot.free[SLOT].is_infinite() {
-        // Only the first job of an idle worker goes unmeasured.
+        // Only the first job at an idle worker is sent without regard to its capacity.
         let left = worker.capacity[SLOT].latest - worker.bookings.booked[SLOT];
         worker.snapshot.free[SLOT] = if worker.health.trial_in_flight { 0.0 } else { left };
     }
--- a/src/decisions/send_guard.rs
+++ b/src/decisions/send_guard.rs
@@ -1,15 +1,17 @@
-//! The send guard: all rules on a send in one place, whatever the decisions before it want.
+//! The send guard: all rules that a send must satisfy, checked in one place independently of the decisions
+//! before it.
 
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::{Attempt, Job};
 use crate::state::workers::Worker;
 
-/// How long a repeat may take to arrive at a worker, in microseconds.
+/// Time that a repeat may take to arrive at a worker, in microseconds.
 const REPEAT_ARRIVAL_MARGIN: Micros = SECOND / 100;
 
 impl Dispatcher {
-    /// Rules 2 to 5, and what the site allows: the only way to a send.
+    /// Whether a job may be sent to a worker under rules 2 to 5 and the site's limits. Every send passes this
+    /// check.
     pub(crate) fn may_send(&self, job: &Job, index: usize) -> bool {
         let worker = &self.workers[index];
         self.accepts_sends(worker)
@@ -21,12 +23,13 @@
             && self.within_slow_start_budget(worker, job)
     }
 
-    /// Rule 3: from the notice of a drain on nothing new is sent, nor by an outdated list.
+    /// Rule 3: nothing new is sent to a worker once its drain has been notified, nor based on an expired
+    /// list.
     fn accepts_sends(&self, worker: &Worker) -> bool {
         worker.ready && self.list_is_valid()
     }
 
-    /// Whether the job may have one more attempt anywhere.
+    /// Whether the job may have one more attempt at any worker.
     fn may_attempt(&self, job: &Job) -> bool {
         let attempts = job.attempts.len();
         !job.ended
@@ -36,34 +39,34 @@
             && (attempts == 0 || self.within_retry_budget())
     }
 
-    /// Rule 5: one more attempt beyond a job's first is within the site's budget.
+    /// Rule 5: whether the site's retry budget allows one more attempt beyond a job's first.
     fn within_retry_budget(&self) -> bool {
         self.retry_counter.allows_retry(self.settings.safety.retry_budget.as_ref(), self.now)
     }
 
-    /// Whether the worker is of the kind that the class needs, and has responded, if the list is unconfirmed
-    /// and the job must not run twice.
+    /// Whether the worker is of the kind that the class requires. While the list is unconfirmed, a job that
+    /// must not run twice also requires that the worker has responded.
     fn is_eligible(&self, job: &Job, worker: &Worker) -> bool {
         let kind = self.settings.classes[job.class].kind;
         let needs_response = self.discovery.unconfirmed && job.idempotency == Idempotency::NonIdempotent;
         kind.is_none_or(|kind| kind == worker.listed.kind) && !(needs_response && worker.health.is_ejected())
     }
 
-    /// Beside an attempt in flight another may start only where hedged requests are allowed, at another
-    /// worker.
+    /// Whether an attempt here may start beside those in flight: only where hedged requests are allowed, and
+    /// only at a worker that has none of them.
     fn may_hedge(&self, job: &Job, index: usize) -> bool {
         let is_elsewhere = job.in_flight().all(|attempt| attempt.worker != index);
         !job.any_in_flight() || (self.settings.limits.hedged_requests && is_elsewhere)
     }
 
-    /// Rule 2: what may have run already restricts what may follow.
+    /// Rule 2: whether a repeat is safe after the attempts that may have run.
     fn repeat_is_safe(&self, job: &Job, worker: &Worker) -> bool {
         let Some(first_run) = job.possible_runs().next() else { return true };
         match job.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::IdempotencyKey { scope, window } => {
-                // The repeat must also arrive while the group remembers the key.
+                // The repeat must arrive while the workers in the key's scope still remember the key.
                 let in_window = self.now - first_run.sent_at < window - REPEAT_ARRIVAL_MARGIN;
                 let shares_keys = |attempt: &Attempt| {
                     scope.shares_keys(&self.workers[attempt.worker].listed, &worker.listed)
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One dispatcher's state as a whole, and the one place that matches events and hands them on.
+//! The [`Dispatcher`]: its state, and the routing of each event to the decision that handles it.
 
 use crate::api::*;
 use crate::state::discovery::DiscoveryState;
@@ -12,7 +12,7 @@
 use crate::state::workers::Worker;
 use std::collections::BTreeMap;
 
-/// One dispatcher's decisions. Feed it every event through [`Dispatcher::step`].
+/// The decision state machine of one dispatcher. Every event is passed to it through [`Dispatcher::step`].
 pub struct Dispatcher {
     pub(crate) settings: Settings,
     pub(crate) rng: oorandom::Rand64,
@@ -25,34 +25,34 @@
     pub(crate) jobs: JobTable,
     pub(crate) work: WorkEstimates,
     pub(crate) slowdown: SlowdownEstimates,
-    /// Most slots seen at a worker of each kind, where listed units fall with the load.
-    pub(crate) slots_of_kind: BTreeMap<KindId, f64>,
+    /// Largest slot total seen at a worker of each kind, used where listed units fall with load.
+    pub(crate) max_slots_by_kind: BTreeMap<KindId, f64>,
     pub(crate) arrivals: ArrivalRates,
     pub(crate) retry_counter: RetryCounter,
     pub(crate) prices: PriceState,
     pub(crate) placement: Placement,
     pub(crate) timers: PassTimers,
     pub(crate) discovery: DiscoveryState,
-    /// The quickest start of a job in each zone, in microseconds from the send.
-    pub(crate) quickest_start: BTreeMap<ZoneId, Micros>,
-    /// Our position in an order of all dispatchers; it follows from the settings.
+    /// Shortest recent delay from send to start in each zone, in microseconds.
+    pub(crate) min_start_delay: BTreeMap<ZoneId, Micros>,
+    /// Position of this dispatcher in a permutation of the fleet, derived from the settings.
     sequence_position: u64,
 }
 
 /// How an attempt ended.
 pub(crate) struct AttemptResult<'a> {
     pub(crate) outcome: Outcome,
-    /// The request has concluded: nothing is owed any more.
+    /// The request has concluded: no further answer is owed to the client.
     pub(crate) concluded: bool,
     pub(crate) report: &'a LoadReport,
 }
 
 impl Dispatcher {
-    /// A dispatcher without workers or jobs; equal seeds and events give equal actions.
+    /// Creates a dispatcher without workers or jobs. Equal seeds and events produce equal actions.
     ///
     /// # Errors
     ///
-    /// The first field of the settings whose value makes no sense.
+    /// Returns the first settings field whose value is invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Dispatcher, SettingsError> {
         settings.check()?;
         let work = WorkEstimates::new(&settings.classes);
@@ -67,20 +67,21 @@
             jobs: JobTable::default(),
             work,
             slowdown: SlowdownEstimates::default(),
-            slots_of_kind: BTreeMap::new(),
+            max_slots_by_kind: BTreeMap::new(),
             arrivals: ArrivalRates::new(settings.tenants.len()),
             retry_counter: RetryCounter::default(),
             prices: PriceState::new(tick),
             placement: Placement::new(),
             timers: PassTimers::default(),
             discovery: DiscoveryState::new(&settings),
-            quickest_start: BTreeMap::new(),
+            min_start_delay: BTreeMap::new(),
             sequence_position: sequence_position(settings.instance_index, settings.fleet_size),
             settings,
         })
     }
 
-    /// Takes the clock, which never runs back, and what happened then; appends what to do, in order.
+    /// Handles the events that occurred at `now` and appends the resulting actions to `out`, in order. `now`
+    /// must never run backwards.
     pub fn step(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = now;
         if !self.started {
@@ -90,7 +91,7 @@
         for event in events {
             may_release |= self.handle_event(event, out);
         }
-        self.withdraw_stalled(out);
+        self.withdraw_stalled_attempts(out);
         if now - self.timers.overdue_checked_at >= self.prices.tick / 2 {
             self.timers.overdue_checked_at = now;
             may_release |= self.check_overdue_attempts(out);
@@ -101,8 +102,8 @@
         self.set_tick_timer(out);
     }
 
-    /// Starts the clocks, and the polls of discovery. Many dispatchers may have come up at once, and
-    /// discovery serves one call after another: each polls at a time of its own.
+    /// Starts the clocks and the polling of discovery. Many dispatchers may start at once and discovery
+    /// serves one call at a time, so each instance makes its first poll after a different delay.
     fn start(&mut self, out: &mut Vec<Action>) {
         self.started = true;
         self.prices.start(self.now);
@@ -114,14 +115,14 @@
         }
     }
 
-    /// Handles one event; whether a waiting job might be sent because of it.
+    /// Handles one event. Returns whether it may allow a waiting job to be sent.
     fn handle_event(&mut self, event: &Event, out: &mut Vec<Action>) -> bool {
         match event {
             Event::EndpointList { mode, endpoints } => self.list_received(*mode, endpoints, out),
             Event::WatchEnded(end) => self.watch_ended(*end, out),
             Event::DiscoveryMoved(at) => self.discovery.lease.discovery_moved(*at),
             Event::SuspensionChanged { worker, suspended: true } => self.suspend(*worker, out),
-            Event::SuspensionChanged { worker, suspended: false } => self.resume(*worker, out),
+            Event::SuspensionChanged { worker, suspended: false } => self.restore(*worker, out),
             Event::JobArrived(request) => self.admit(request, out),
             Event::StreamAccepted { job, .. } => self.jobs.stream_accepted(*job),
             Event::AttemptProgress { job, attempt, update } => {
@@ -154,16 +155,16 @@
                     out.push(Action::WatchEndpoints);
                 }
             }
-            // Attempts without a start are looked for in each step.
+            // Nothing to do: every step looks for attempts that have not started in time.
             MIGRATION_TOKEN => {}
             job => self.deadline_reached(JobId(job as u32), out),
         }
     }
 
-    /// Sets one timer for the next pass, and only while there are jobs.
+    /// Sets a timer for the next pass, unless one is due earlier, and only while there are jobs.
     fn set_tick_timer(&mut self, out: &mut Vec<Action>) {
-        let passes_a_tick = if self.jobs.waiting.is_empty() { 2 } else { 8 };
-        let delay = (self.prices.tick / passes_a_tick).max(self.settings.tick);
+        let passes_per_tick = if self.jobs.waiting.is_empty() { 2 } else { 8 };
+        let delay = (self.prices.tick / passes_per_tick).max(self.settings.tick);
         let due = self.now + delay;
         if !self.jobs.by_id.is_empty() && self.timers.tick_due.is_none_or(|earlier| earlier > due) {
             self.timers.tick_due = Some(due);
@@ -171,13 +172,13 @@
         }
     }
 
-    /// Whether the list of workers may be acted on: nothing is sent while it may not.
+    /// Whether the lease on the endpoint list is valid. Nothing is sent while it is not.
     #[must_use]
     pub fn list_is_valid(&self) -> bool {
         self.discovery.lease.is_valid(self.now)
     }
 
-    /// Whether the decisions avoid a worker now: it is suspended by hand, ejected, or backing off after an
+    /// Whether a worker is currently avoided: suspended by an operator, ejected, or in backoff after an
     /// error.
     #[must_use]
     pub fn is_avoided(&self, worker: WorkerId) -> bool {
@@ -193,13 +194,13 @@
     ///
     /// # Errors
     ///
-    /// The first field whose value makes no sense; classes and tenants must be as many as before.
+    /// Returns the first field whose value is invalid. The numbers of classes and tenants must not change.
     pub fn update_settings(&mut self, settings: &Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let same_classes = settings.classes.len() == self.settings.classes.len();
         let same_tenants = settings.tenants.len() == self.settings.tenants.len();
         if !same_classes || !same_tenants {
-            let problem = "must be as many as before";
+            let problem = "must not change in number";
             return Err(SettingsError { field: "classes and tenants".to_owned(), problem });
         }
         self.settings = settings.clone();
@@ -208,13 +209,13 @@
         Ok(())
     }
 
-    /// Our rank in the order of all dispatchers, rotated by a hash.
+    /// Rank of this dispatcher in the permutation of the fleet after rotating it by the hash `rotation`.
     pub(crate) fn sequence_rank(&self, rotation: u64) -> u64 {
         let fleet_size = u64::from(self.settings.fleet_size);
         (self.sequence_position + rotation % fleet_size) % fleet_size
     }
 
-    /// Mean run time in microseconds.
+    /// Mean run time in microseconds, at least one tick.
     pub(crate) fn mean_run_time(&self) -> f64 {
         let slowdown = self.slowdown.fleet_mean(self.now);
         let run_time = self.work.mean_work.mean * slowdown.exp() * SECOND as f64;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of a dispatcher that pushes jobs to workers, by time-indexed bid prices.
+//! Decision module of a dispatcher that pushes jobs to workers, based on time-indexed bid prices.
 //!
-//! The interface is in [`api`]; [`Dispatcher`] takes its events. What it knows is in `state`, one part a
-//! file; what it decides is in `decisions`, one decision a file. `decisions` uses `dispatcher` and `state`,
+//! The interface is in [`api`]; [`Dispatcher`] handles its events. What the dispatcher knows is in `state`,
+//! what it decides is in `decisions`, with one concern per file. `decisions` uses `dispatcher` and `state`;
 //! `dispatcher` uses `state`.
 
 pub mod api;
