--- a/src/decisions/payoff.rs
+++ b/src/decisions/payoff.rs
@@ -48,7 +48,7 @@
         let worker = &self.workers[index];
         let snapshot = &worker.snapshot;
         let costs = &self.settings.costs;
-        // Relative to the best candidate, which counts as 1: a fault of all workers alike excludes none of them.
+        // Relative to the best candidate, taken as 1: a fault of all workers alike excludes none of them.
         let success = snapshot.success / self.placement.best_success;
         let fees = snapshot.fees + self.expected_fetch_cost(job, worker, index);
         let ticks = job.work * snapshot.run_time_per_work / self.prices.tick as f64;
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -18,8 +18,8 @@
     booked_before: f64,
     /// Microseconds since its start, or since the send if no start was reported.
     elapsed: Micros,
-    /// The worker has not responded since the send, more than a tick ago. On a timeout it is ejected then,
-    /// since freeing the booking must not make a vanished worker look idle.
+    /// The worker has not responded since the send, more than a tick ago. On a timeout or cancellation it is
+    /// ejected, since freeing the booking must not make a vanished worker look idle.
     no_response: bool,
     /// Its run time, if it is known or assumed to have run.
     run: Option<RunTimeSample>,
