--- a/src/decisions/overdue.rs
+++ b/src/decisions/overdue.rs
@@ -40,7 +40,7 @@
     }
 
     fn find_overdue_attempts(&mut self) -> OverdueAttempts {
-        let progress_due = self.settings.progress_interval * 3 / 2 + 2 * self.prices.tick;
+        let progress_timeout = self.settings.progress_interval * 3 / 2 + 2 * self.prices.tick;
         let reports_progress = self.settings.progress_interval > 0;
         let mut overdue = OverdueAttempts::default();
         for (&id, job) in &self.jobs.by_id {
@@ -61,9 +61,9 @@
                     continue;
                 };
                 record_overrun(job, attempt, worker, self.now - started_at);
-                if reports_progress && self.now - attempt.last_update_at > progress_due {
+                if reports_progress && self.now - attempt.last_update_at > progress_timeout {
                     overdue.stalled_jobs.push(id);
-                    if self.now - worker.health.last_response_at > progress_due && worker.ready {
+                    if self.now - worker.health.last_response_at > progress_timeout && worker.ready {
                         overdue.unresponsive_workers.push(attempt.worker);
                     }
                 }
