--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,8 @@
-//! The parts of the dispatcher that operators deal with, without I/O, clock or randomness: times are arguments.
+//! The operator interface of the dispatcher. It has no I/O, clock or random number generator: times are arguments.
 //!
-//! - [`command`] parses the commands of the admin address, one a line.
-//! - [`metrics`] counts what `METRICS` shows.
-//! - [`suspension_file`] is the format of the file that keeps suspended workers across an upgrade.
+//! - [`command`] parses the commands of the admin address, one per line.
+//! - [`metrics`] holds the counters that `METRICS` shows.
+//! - [`suspension_file`] encodes and decodes the file that preserves suspended workers across an upgrade.
 
 pub mod command;
 mod line_reader;
--- a/crates/admin/src/line_reader_tests.rs
+++ b/crates/admin/src/line_reader_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// All lines that are complete; `None` for a line that is too long.
+/// Reads all complete lines; `None` stands for a line that is too long.
 fn read_all(reader: &mut LineReader) -> Vec<Option<Vec<u8>>> {
     let mut lines = Vec::new();
     loop {
@@ -31,7 +31,7 @@
 }
 
 proptest! {
-    /// However the bytes are split, the same lines come out, and no more than a line and a read are buffered.
+    /// However the bytes are split into reads, the lines are the same, and no more than one line and one read are buffered.
     #[test]
     fn any_split_gives_the_same_lines(text in "[A-Z \\r\\n]{0,600}", cut in 0usize..600) {
         let expected = {
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,31 +1,31 @@
-//! The metrics that `METRICS` shows, counted where each event happens, with atomics and without locks.
+//! The metrics that `METRICS` shows. Each event is counted where it happens, in atomics, without locks.
 
 use roselock_discovery_client::startup_stage::{StartupProgress, StartupStage};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, AtomicU8, AtomicU64, Ordering};
 
-/// The counters of one request class, from the start of the process.
+/// The counters of one request class, since the start of the process.
 #[derive(Default)]
 pub struct ClassCounters {
-    /// Requests served.
+    /// Number of requests that were served.
     pub answered: AtomicU64,
-    /// Requests rejected: a local response of 429 or 503.
+    /// Number of requests that were rejected, by a local response of 429 or 503.
     pub deferred: AtomicU64,
-    /// Requests failed: any other final answer that is not a worker's result.
+    /// Number of requests that failed: any other final answer that is not a worker's result.
     pub errored: AtomicU64,
-    /// Attempts that were written completely to workers.
+    /// Number of attempts that were written completely to workers.
     pub sends: AtomicU64,
 }
 
-/// How a request ended, for the counters.
+/// How a request ended, named after the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobResult {
-    /// Served.
+    /// The request was served.
     Answered,
-    /// Rejected.
+    /// The request was rejected.
     Deferred,
-    /// Failed or timed out.
+    /// The request failed or timed out.
     Errored,
 }
 
@@ -33,25 +33,25 @@
 pub struct Metrics {
     class_names: Vec<String>,
     classes: Vec<ClassCounters>,
-    /// Requests admitted and not ended.
+    /// Number of requests that were admitted and have not ended.
     pub current: AtomicI64,
-    /// Workers in the endpoint list.
+    /// Number of workers in the endpoint list.
     pub cluster_size: AtomicU64,
-    /// Workers among them that are avoided: suspended, or ejected as outliers.
+    /// Number of these workers that are avoided: suspended, or ejected as outliers.
     pub cluster_unhealthy: AtomicU64,
-    /// Number of the [`StartupStage`].
+    /// The [`StartupStage`], as its number.
     stage: AtomicU8,
-    /// Calls to the list service.
+    /// Number of calls to the list service.
     list_calls: AtomicU64,
-    /// Calls among them that failed.
+    /// Number of these calls that failed.
     failed_list_calls: AtomicU64,
-    /// Time from the start to the first list, in milliseconds; negative before.
-    confirmed_ms: AtomicI64,
-    /// Lists that were dropped as malformed.
+    /// Time from the start to the first list, in milliseconds; negative until that list is received.
+    confirmed_after_ms: AtomicI64,
+    /// Number of lists that were discarded as malformed.
     malformed_lists: AtomicU64,
 }
 
-/// The progress of the start, as shown.
+/// The progress of the startup, as shown.
 #[derive(Serialize)]
 struct StartupSnapshot {
     stage: &'static str,
@@ -73,7 +73,7 @@
 #[derive(Serialize)]
 struct Snapshot<'a> {
     transactions: BTreeMap<&'a str, ClassSnapshot>,
-    /// Of all classes.
+    /// The sum over all classes.
     sends: u64,
     current: i64,
     cluster_size: u64,
@@ -84,7 +84,7 @@
 }
 
 impl Metrics {
-    /// Metrics with all counters at zero, for request classes with these names, by class id.
+    /// Metrics with all counters at zero. `class_names` are the names of the request classes, by class id.
     #[must_use]
     pub fn new(class_names: Vec<String>) -> Metrics {
         let classes = class_names.iter().map(|_| ClassCounters::default()).collect();
@@ -97,7 +97,7 @@
             stage: AtomicU8::new(0),
             list_calls: AtomicU64::new(0),
             failed_list_calls: AtomicU64::new(0),
-            confirmed_ms: AtomicI64::new(-1),
+            confirmed_after_ms: AtomicI64::new(-1),
             malformed_lists: AtomicU64::new(0),
         }
     }
@@ -107,12 +107,13 @@
         self.current.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request whose client disconnected: it is not current any more, and has no result.
+    /// Counts an admitted request whose client disconnected: it is no longer current, and has no result.
     pub fn client_disconnected(&self) {
         self.current.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Counts the end of a request, once. `class` is its class id, `was_admitted` says whether it was counted as admitted.
+    /// Counts the end of a request, once per request. `class` is its class id; `was_admitted` tells whether it was counted as
+    /// admitted.
     pub fn job_ended(&self, class: usize, result: JobResult, was_admitted: bool) {
         if was_admitted {
             self.current.fetch_sub(1, Ordering::Relaxed);
@@ -133,35 +134,35 @@
         }
     }
 
-    /// Counts a malformed list; returns how many there were.
+    /// Counts a malformed list; returns the number of malformed lists, including this one.
     pub fn count_malformed_list(&self) -> u64 {
         self.malformed_lists.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Sets the number of workers in the endpoint list, and of those among them that are avoided.
+    /// Sets the number of workers in the endpoint list, and the number of these that are avoided.
     pub fn set_cluster(&self, size: usize, unhealthy: usize) {
         self.cluster_size.store(size as u64, Ordering::Relaxed);
         self.cluster_unhealthy.store(unhealthy as u64, Ordering::Relaxed);
     }
 
-    /// Sets the progress of the start. `first_list_after` is the time from the start to the first list, in microseconds, given
-    /// once.
+    /// Sets the progress of the startup. `first_list_after` is the time from the start to the first list, in microseconds,
+    /// given only with that list.
     pub fn start(&self, progress: &StartupProgress, first_list_after: Option<i64>) {
         self.stage.store(progress.stage() as u8, Ordering::Relaxed);
         self.list_calls.store(progress.calls, Ordering::Relaxed);
         self.failed_list_calls.store(progress.failed_calls, Ordering::Relaxed);
         if let Some(microseconds) = first_list_after {
-            self.confirmed_ms.store(microseconds / 1000, Ordering::Relaxed);
+            self.confirmed_after_ms.store(microseconds / 1000, Ordering::Relaxed);
         }
     }
 
-    /// The stage of the start.
+    /// The stage of the startup.
     #[must_use]
     pub fn stage(&self) -> StartupStage {
-        StartupStage::from_number(self.stage.load(Ordering::Relaxed))
+        StartupStage::from_u8(self.stage.load(Ordering::Relaxed))
     }
 
-    /// The line that `METRICS` shows, as JSON, without its end.
+    /// The JSON line that `METRICS` shows, without its line ending.
     #[must_use]
     pub fn render(&self) -> String {
         serde_json::to_string(&self.snapshot()).unwrap_or_else(|_| "{}".to_owned())
@@ -184,12 +185,12 @@
     }
 
     fn startup_snapshot(&self) -> StartupSnapshot {
-        let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
+        let confirmed_after_ms = self.confirmed_after_ms.load(Ordering::Relaxed);
         StartupSnapshot {
             stage: self.stage().description(),
             list_calls: load(&self.list_calls),
             list_calls_failed: load(&self.failed_list_calls),
-            confirmed_after_s: (confirmed_ms >= 0).then(|| confirmed_ms as f64 / 1e3),
+            confirmed_after_s: (confirmed_after_ms >= 0).then(|| confirmed_after_ms as f64 / 1e3),
         }
     }
 }
--- a/crates/admin/src/suspension_file.rs
+++ b/crates/admin/src/suspension_file.rs
@@ -1,69 +1,69 @@
-//! The file of suspended workers, kept in `$TMPDIR` for the next process of an upgrade, and for the other one while both
-//! serve.
+//! The file of suspended workers. It is kept in `$TMPDIR` and read by the next process of an upgrade; while both processes
+//! serve, each reads the changes of the other.
 //!
-//! It has three lines: a magic word with the format's version, the body as JSON, and the body's CRC-32. The caller writes it
-//! under another name and renames it, so a reader finds the old file or the new one. A file that can't be trusted is reported
-//! by [`SuspensionFileError`] and not used.
+//! The file has three lines: a magic word with the format version, the body as JSON, and the CRC-32 of the body. The caller
+//! writes it under a temporary name and renames it, so a reader finds either the old file or the new one. An invalid file is
+//! reported by [`SuspensionFileError`] and not used.
 
 use serde::{Deserialize, Serialize};
 
 /// The first word of the file.
 pub const MAGIC: &str = "roselock-suspended";
-/// The version of the format that is written.
+/// The format version that is written.
 pub const FORMAT_VERSION: u32 = 1;
-/// Most suspended workers in a file; the admin address rejects more.
+/// Maximum number of suspended workers in a file; the admin address rejects more.
 pub const MAX_WORKERS: usize = 4096;
-/// Age beyond which a file is not used, in milliseconds of the wall clock: seven days.
+/// Maximum age of a file that is used, in milliseconds by the wall clock: seven days.
 pub const MAX_AGE_MS: u64 = 7 * 24 * 3600 * 1000;
 
 /// The content of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspensionFile {
-    /// The site whose file it is.
+    /// The site that the file belongs to.
     pub site: String,
-    /// The dispatcher's name.
+    /// The name of the dispatcher that the file belongs to.
     pub name: String,
-    /// Sequence number: grows with each change, whichever process makes it; the greater one is current.
+    /// Sequence number: increases with each change by any process. The file with the highest number is current.
     pub seq: u64,
-    /// When it was written, Unix time in milliseconds.
+    /// When the file was written, in milliseconds of Unix time.
     pub written_ms: u64,
-    /// The ids of the suspended workers, in order.
+    /// The ids of the suspended workers, sorted.
     pub workers: Vec<String>,
 }
 
-/// Why a file can't be trusted.
+/// Why a file is not used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SuspensionFileError {
-    /// It ends before its three lines.
-    #[error("cut off")]
+    /// The file has fewer than three complete lines.
+    #[error("truncated")]
     Truncated,
-    /// It does not begin with [`MAGIC`] and a version.
-    #[error("not a file of workers out by hand")]
+    /// The file does not begin with [`MAGIC`] and a version.
+    #[error("not a suspension file")]
     UnknownFormat,
-    /// A later version of the program wrote it, with this version of the format.
-    #[error("format {0} is newer than {FORMAT_VERSION}")]
+    /// The file was written by a later version of the program, in this version of the format.
+    #[error("unsupported format version {0}: the highest supported one is {FORMAT_VERSION}")]
     NewerFormat(u32),
-    /// The checksum is not that of the body, or the body is no such JSON object.
-    #[error("its checksum or body is wrong")]
+    /// The checksum does not match the body, or the body is not a valid JSON object.
+    #[error("invalid checksum or body")]
     Corrupt,
-    /// It belongs to another site or another dispatcher.
-    #[error("of site {site:?}, dispatcher {name:?}")]
+    /// The file belongs to another site or another dispatcher.
+    #[error("belongs to site {site:?}, dispatcher {name:?}")]
     OtherInstance {
-        /// The site whose file it is.
+        /// The site that the file belongs to.
         site: String,
-        /// The name of the dispatcher whose file it is.
+        /// The name of the dispatcher that the file belongs to.
         name: String,
     },
-    /// It was written this many milliseconds ago, more than [`MAX_AGE_MS`].
-    #[error("written {} s ago", .0 / 1000)]
+    /// The file was written this many milliseconds ago, more than [`MAX_AGE_MS`].
+    #[error("too old: written {} s ago", .0 / 1000)]
     Expired(u64),
-    /// It has this number of workers, more than [`MAX_WORKERS`].
-    #[error("{0} workers, more than {MAX_WORKERS}")]
+    /// The file has this number of workers, more than [`MAX_WORKERS`].
+    #[error("too many workers: {0}, at most {MAX_WORKERS} are allowed")]
     TooManyWorkers(usize),
 }
 
 impl SuspensionFile {
-    /// The file's bytes.
+    /// Encodes the content of the file.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let body = serde_json::to_string(self).unwrap_or_default();
@@ -71,11 +71,11 @@
         format!("{MAGIC} {FORMAT_VERSION}\n{body}\n{checksum}\n").into_bytes()
     }
 
-    /// Reads a file, which must be of this site and dispatcher and at most [`MAX_AGE_MS`] old at `now_ms`, Unix time in
-    /// milliseconds.
+    /// Decodes a file, which must belong to this site and dispatcher and be at most [`MAX_AGE_MS`] old at `now_ms`, in
+    /// milliseconds of Unix time.
     ///
     /// # Errors
-    /// Returns [`SuspensionFileError`] if the file can't be trusted.
+    /// Returns [`SuspensionFileError`] if the file is invalid, too old, or belongs to another dispatcher.
     pub fn decode(
         bytes: &[u8],
         site: &str,
@@ -99,7 +99,7 @@
     }
 }
 
-/// The body of a file whose format is known and whose checksum is right.
+/// The body, after the format version and the checksum have been checked.
 fn verified_body(text: &str) -> Result<&str, SuspensionFileError> {
     let mut lines = text.split_inclusive('\n');
     check_format(complete_line(lines.next())?)?;
@@ -111,7 +111,7 @@
     Ok(body)
 }
 
-/// A line without its end, which must be there.
+/// The line without its line ending, which must be present.
 fn complete_line(line: Option<&str>) -> Result<&str, SuspensionFileError> {
     line.and_then(|line| line.strip_suffix('\n')).ok_or(SuspensionFileError::Truncated)
 }
--- a/crates/discovery-client/src/startup_stage.rs
+++ b/crates/discovery-client/src/startup_stage.rs
@@ -1,26 +1,26 @@
-//! How far a start has come, as operators see it.
+//! The progress of the startup, as shown to operators.
 
 use crate::poll_schedule::Micros;
 
-/// A stage of the start.
+/// A stage of the startup.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[repr(u8)]
 pub enum StartupStage {
     /// There is no endpoint list, and no call to the list service has been answered.
     #[default]
-    WaitingForTurn = 0,
-    /// A cached list is in use, which the list service has not confirmed yet.
+    NoList = 0,
+    /// A cached list is in use; the list service has not confirmed it yet.
     ListUnconfirmed = 1,
     /// The list service has sent a list, and its watch is open.
     ListConfirmed = 2,
-    /// The watch is broken; the list was confirmed before and stays in use until the next call is answered.
+    /// The watch is broken. The list, which was confirmed before, stays in use until the next call is answered.
     WatchBroken = 3,
 }
 
 impl StartupStage {
     /// All stages, by number.
     const ALL: [StartupStage; 4] = [
-        StartupStage::WaitingForTurn,
+        StartupStage::NoList,
         StartupStage::ListUnconfirmed,
         StartupStage::ListConfirmed,
         StartupStage::WatchBroken,
@@ -30,41 +30,40 @@
     #[must_use]
     pub fn description(self) -> &'static str {
         match self {
-            StartupStage::WaitingForTurn => "waiting for its turn",
+            StartupStage::NoList => "waiting for its turn",
             StartupStage::ListUnconfirmed => "list of before, unconfirmed",
             StartupStage::ListConfirmed => "list confirmed",
             StartupStage::WatchBroken => "watch broken, list kept",
         }
     }
 
-    /// The stage with this number; the first stage for a number that is none.
+    /// The stage with this number, or the first stage if there is none.
     #[must_use]
-    pub fn from_number(number: u8) -> StartupStage {
-        StartupStage::ALL.get(usize::from(number)).copied().unwrap_or_default()
+    pub fn from_u8(value: u8) -> StartupStage {
+        StartupStage::ALL.get(usize::from(value)).copied().unwrap_or_default()
     }
 }
 
-/// The progress of a start.
+/// The progress of the startup.
 #[derive(Clone, Copy, Debug)]
 pub struct StartupProgress {
     started_at: Micros,
     stage: StartupStage,
-    /// Whether the list service has sent anything.
+    /// Whether the list service has sent a list.
     is_confirmed: bool,
-    /// Whether a call has been neither answered nor failed.
+    /// Whether a call has neither been answered nor failed.
     call_in_flight: bool,
-    /// Calls to the list service.
+    /// Number of calls to the list service.
     pub calls: u64,
-    /// Calls among them that failed.
+    /// Number of these calls that failed.
     pub failed_calls: u64,
 }
 
 impl StartupProgress {
-    /// A start at `now`, with a cached list or without one.
+    /// A startup at `now`, with or without a cached list.
     #[must_use]
     pub fn new(now: Micros, has_cached_list: bool) -> StartupProgress {
-        let stage =
-            if has_cached_list { StartupStage::ListUnconfirmed } else { StartupStage::WaitingForTurn };
+        let stage = if has_cached_list { StartupStage::ListUnconfirmed } else { StartupStage::NoList };
         StartupProgress {
             started_at: now,
             stage,
@@ -75,19 +74,19 @@
         }
     }
 
-    /// The stage.
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> StartupStage {
         self.stage
     }
 
-    /// Records the begin of a call.
+    /// Records the start of a call.
     pub fn record_call(&mut self) {
         self.calls += 1;
         self.call_in_flight = true;
     }
 
-    /// Records a watch event; returns the time from the start to it, in microseconds, if it is the first one.
+    /// Records a watch event; returns the time since the startup began, in microseconds, if it is the first event.
     pub fn record_list(&mut self, now: Micros) -> Option<Micros> {
         let is_first = !self.is_confirmed;
         self.is_confirmed = true;
