--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher, with the names that its ids stand for on the wire.
+//! A dispatcher instance, with the mapping between its ids and the names on the wire.
 
 use crate::reply::write_action;
 use crate::wire;
@@ -6,61 +6,62 @@
 use roselock::*;
 use std::collections::HashMap;
 
-/// Codes of a notice's `what`.
+/// Code of a `notice`: the attempt has started.
 const NOTICE_STARTED: u64 = 1;
+/// Code of a `notice`: the attempt has made progress.
 const NOTICE_PROGRESS: u64 = 2;
 
-/// Why an event can't be applied.
+/// Why an event cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum InstanceError {
-    /// The options can't be translated.
+    /// The options are invalid.
     #[error(transparent)]
     Options(#[from] OptionsError),
-    /// A setting is out of its range.
+    /// A setting is out of range.
     #[error("attach: settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A list's mode is none of the known letters.
+    /// The mode of an endpoint list is not a known letter.
     #[error("fleet: unknown mode {0:?}")]
     UnknownMode(String),
-    /// A worker's state is none of the known words.
+    /// The health of a worker is not a known state.
     #[error("fleet: unknown health {0:?}")]
     UnknownHealth(String),
-    /// A job's request class is not in the options.
+    /// The request class of a job is not in the options.
     #[error("jobIn: unknown service {0:?}")]
     UnknownService(String),
-    /// An attempt ended with none of the known codes.
+    /// The outcome of an attempt is not a known code.
     #[error("verdict: unknown code {0:?}")]
     UnknownCode(String),
 }
 
-/// An instance between its `attach` and its `down`.
+/// An instance, from its `attach` to its `down`.
 pub struct Instance {
     dispatcher: Dispatcher,
     /// Events for the next step.
     events: Vec<Event>,
     /// Actions of the latest step.
     actions: Vec<Action>,
-    /// Addresses by the worker id derived from them.
+    /// Worker addresses, by the worker id that is derived from the address.
     addresses: HashMap<u64, String>,
     site: Site,
 }
 
 impl Instance {
-    /// A dispatcher with these options; `seed` is that of its random draws.
+    /// Creates a dispatcher with these options; `seed` seeds its random number generator.
     pub fn new(seed: u64, options: &Options) -> Result<Instance, InstanceError> {
         let site = options.site()?;
         let dispatcher = Dispatcher::new(site.settings.clone(), seed)?;
         Ok(Instance { dispatcher, events: Vec::new(), actions: Vec::new(), addresses: HashMap::new(), site })
     }
 
-    /// Queues an event for the next step, which is at `now`.
+    /// Queues an event for the next step, which takes place at `now`.
     pub fn queue(&mut self, now: Micros, event: &wire::Event) -> Result<(), InstanceError> {
         let translated = self.translate(now, event)?;
         self.events.extend(translated);
         Ok(())
     }
 
-    /// The event in the dispatcher's terms; `None` if it is none of the dispatcher's concern.
+    /// Translates an event to the dispatcher's type; `None` if the dispatcher does not handle it.
     fn translate(&mut self, now: Micros, event: &wire::Event) -> Result<Option<Event>, InstanceError> {
         let translated = match event {
             wire::Event::Attach { .. } | wire::Event::Down | wire::Event::Datagram => return Ok(None),
@@ -91,7 +92,7 @@
         Ok(Some(translated))
     }
 
-    /// Mode `X` stands for a call to discovery that failed.
+    /// Translates an endpoint list. Mode `X` means that the call to discovery failed.
     fn endpoint_list(
         &mut self,
         now: Micros,
@@ -153,8 +154,8 @@
         })
     }
 
-    /// Runs the queued events at `now` and appends the actions in the wire's form, separated by commas. Returns whether there
-    /// were any.
+    /// Steps the dispatcher with the queued events at `now` and appends its actions in wire format, separated by commas.
+    /// Returns whether there were any.
     pub fn step(&mut self, now: Micros, reply: &mut String) -> bool {
         self.actions.clear();
         self.dispatcher.step(now, &self.events, &mut self.actions);
@@ -173,7 +174,7 @@
     WorkerId(fnv(address.0.as_bytes()))
 }
 
-/// What a notice says of an attempt; `None` for codes that this dispatcher has no use for.
+/// Translates a notice about an attempt; `None` for codes that the dispatcher does not handle.
 fn attempt_update(what: u64, amount: f64) -> Option<AttemptUpdate> {
     match what {
         NOTICE_STARTED => Some(AttemptUpdate::Started),
--- a/adapter/src/reply.rs
+++ b/adapter/src/reply.rs
@@ -1,14 +1,14 @@
-//! Actions in the wire's form.
+//! Encodes actions in wire format.
 
 use roselock::{Action, Micros, SECOND, WorkerId};
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// Appends an action to a reply. `addresses` holds the workers' addresses by id.
+/// Appends an action to a reply. `addresses` maps worker ids to addresses.
 pub fn write_action(action: &Action, addresses: &HashMap<u64, String>, reply: &mut String) {
     let address = |worker: &WorkerId| addresses.get(&worker.0).map_or("", String::as_str);
     let quoted_address = |worker: &WorkerId| quoted(address(worker));
-    // Writing to a string cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = match action {
         Action::Send { job, worker, timeout } => {
             write!(reply, r#"["callOut",{},{},{}]"#, job.0, quoted_address(worker), seconds(*timeout))
@@ -32,7 +32,7 @@
     time as f64 / SECOND as f64
 }
 
-/// A JSON string.
+/// Encodes text as a JSON string.
 fn quoted(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The messages of the simulator's wire as they stand on a line. Names of types and fields mirror the wire's own words; names
-//! of things are text, times are in seconds. An event is a JSON array, its values are distinguished by position.
+//! The messages of the simulator's wire protocol. Types and fields are named as in the protocol. Workers, zones, classes
+//! and the like are identified by name; times are in seconds. An event is a JSON array whose values are identified by position.
 
 use roselock::settings::{Options, WorkerReport};
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// A name; a number reads as the empty name (tenants are 0 where a site has none).
+/// A name. A number is read as the empty name, as the tenant is 0 where a site has no tenants.
 #[derive(Debug, Default)]
 pub struct Name<'a>(pub Cow<'a, str>);
 
@@ -45,7 +45,7 @@
     pub worker: Name<'a>,
 }
 
-/// One event. Trailing values that are not known here are skipped.
+/// One event. Unknown trailing values are skipped.
 #[derive(Debug)]
 pub enum Event<'a> {
     Attach { seed: u64, options: Box<Options> },
@@ -74,38 +74,38 @@
     pub budget: f64,
 }
 
-/// Reads an array's values by position; null and missing values both read as absent.
+/// Reads the values of an array by position; null and missing values both count as absent.
 struct Values<A>(A);
 
 impl<'de, A: SeqAccess<'de>> Values<A> {
-    /// The next value, if it is there.
-    fn get<T: Deserialize<'de>>(&mut self) -> Result<Option<T>, A::Error> {
+    /// The next value, if it is present.
+    fn optional<T: Deserialize<'de>>(&mut self) -> Result<Option<T>, A::Error> {
         Ok(self.0.next_element::<Option<T>>()?.flatten())
     }
-    /// The next value, or its type's default.
+    /// The next value, or the default of its type if it is absent.
     fn or_default<T: Deserialize<'de> + Default>(&mut self) -> Result<T, A::Error> {
-        Ok(self.get()?.unwrap_or_default())
+        Ok(self.optional()?.unwrap_or_default())
     }
-    /// The next value, which must be there; `what` names it in the error.
-    fn need<T: Deserialize<'de>>(&mut self, what: &str) -> Result<T, A::Error> {
-        self.get()?.ok_or_else(|| A::Error::custom(format_args!("{what} is missing")))
+    /// The next value, which must be present; `what` names it in the error message.
+    fn required<T: Deserialize<'de>>(&mut self, what: &str) -> Result<T, A::Error> {
+        self.optional()?.ok_or_else(|| A::Error::custom(format_args!("{what} is missing")))
     }
-    /// Skips values that the dispatcher has no use for.
+    /// Skips values that the dispatcher does not use.
     fn skip(&mut self, count: usize) -> Result<(), A::Error> {
         for _ in 0..count {
             self.0.next_element::<IgnoredAny>()?;
         }
         Ok(())
     }
-    /// Skips all values that are left.
+    /// Skips all remaining values.
     fn skip_rest(mut self) -> Result<(), A::Error> {
         while self.0.next_element::<IgnoredAny>()?.is_some() {}
         Ok(())
     }
 }
 
-/// Implements `Deserialize` for a type that stands as a JSON array, which `$read` reads value by value.
-macro_rules! from_array {
+/// Implements `Deserialize` for a type that is encoded as a JSON array, whose values `$read` reads one by one.
+macro_rules! deserialize_from_array {
     ($kind:ident, $what:literal, $read:ident) => {
         impl<'de: 'a, 'a> Deserialize<'de> for $kind<'a> {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
@@ -130,53 +130,57 @@
 
 fn read_host<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Host<'de>, A::Error> {
     Ok(Host {
-        health: values.need("a worker's health")?,
+        health: values.required("a worker's health")?,
         site: values.or_default()?,
         cell: values.or_default()?,
         sku: values.or_default()?,
         units: values.or_default()?,
         up_since: values.or_default()?,
-        worker: values.need("a worker's address")?,
+        worker: values.required("a worker's address")?,
     })
 }
-from_array!(Host, "a line of the worker list", read_host);
+deserialize_from_array!(Host, "an entry of the endpoint list", read_host);
 
 fn read_event<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
-    let name: Name = values.need("the event's name")?;
+    let name: Name = values.required("the event's name")?;
     match &*name.0 {
-        "attach" => Ok(Event::Attach { seed: values.need("seed")?, options: values.need("options")? }),
+        "attach" => {
+            Ok(Event::Attach { seed: values.required("seed")?, options: values.required("options")? })
+        }
         "fleet" => {
             values.skip(1)?;
-            Ok(Event::Fleet { mode: values.need("mode")?, hosts: values.or_default()? })
+            Ok(Event::Fleet { mode: values.required("mode")?, hosts: values.or_default()? })
         }
         "jobIn" => read_job_in(values),
         "down" => Ok(Event::Down),
         "health" => read_health(values),
         "notice" => read_notice(values),
-        "alarm" => Ok(Event::Alarm { nonce: values.need("nonce")? }),
-        "cancelledByClient" => Ok(Event::Cancelled { rid: values.need("rid")? }),
+        "alarm" => Ok(Event::Alarm { nonce: values.required("nonce")? }),
+        "cancelledByClient" => Ok(Event::Cancelled { rid: values.required("rid")? }),
         "datagram" => Ok(Event::Datagram),
         "verdict" => read_verdict(values),
-        "accepted" => Ok(Event::Accepted { rid: values.need("rid")?, round: values.need("roundNo")? }),
+        "accepted" => {
+            Ok(Event::Accepted { rid: values.required("rid")?, round: values.required("roundNo")? })
+        }
         other => Err(A::Error::custom(format_args!("unknown event {other:?}"))),
     }
 }
 
-from_array!(Event, "an event", read_event);
+deserialize_from_array!(Event, "an event", read_event);
 
 fn read_job_in<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
-    let rid = values.need("rid")?;
+    let rid = values.required("rid")?;
     let memory = values.or_default()?;
     values.skip(2)?;
     Ok(Event::JobIn(JobIn {
         rid,
         memory,
-        hint: values.get()?,
-        service: values.need("service")?,
-        slots: values.get()?.unwrap_or(1.0),
+        hint: values.optional()?,
+        service: values.required("service")?,
+        slots: values.optional()?.unwrap_or(1.0),
         team: values.or_default()?,
         key: values.or_default()?,
-        budget: values.need("budgetS")?,
+        budget: values.required("budgetS")?,
     }))
 }
 
@@ -184,30 +188,30 @@
     values.skip(1)?;
     Ok(Event::Health {
         verdict: values.or_default()?,
-        worker: values.need("worker")?,
+        worker: values.required("worker")?,
         gauge: values.or_default()?,
     })
 }
 
 fn read_notice<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
-    let rid = values.need("rid")?;
-    let round = values.need("roundNo")?;
+    let rid = values.required("rid")?;
+    let round = values.required("roundNo")?;
     values.skip(1)?;
     Ok(Event::Notice { rid, round, what: values.or_default()?, amount: values.or_default()? })
 }
 
 fn read_verdict<'de, A: SeqAccess<'de>>(values: &mut Values<A>) -> Result<Event<'de>, A::Error> {
-    let rid = values.need("rid")?;
-    let round = values.need("roundNo")?;
+    let rid = values.required("rid")?;
+    let round = values.required("roundNo")?;
     values.skip(1)?;
-    let verdict = values.need("verdict")?;
+    let verdict = values.required("verdict")?;
     values.skip(1)?;
     let last = values.or_default()?;
     values.skip(1)?;
     Ok(Event::Verdict { rid, round, verdict, last, gauge: values.or_default()? })
 }
 
-/// The events of one instance, in order.
+/// The events for one instance, in order.
 #[derive(Debug, Deserialize)]
 pub struct Group<'a> {
     #[serde(rename = "schedulerId")]
@@ -216,7 +220,7 @@
     pub events: Vec<Event<'a>>,
 }
 
-/// One line of input.
+/// A batch of events: one line of input.
 #[derive(Debug, Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "clockS")]
