--- a/crates/discovery-client/src/poll_schedule.rs
+++ b/crates/discovery-client/src/poll_schedule.rs
@@ -24,8 +24,8 @@
 const MAX_CALL_TIME: Micros = SECOND;
 /// Shortest backoff after a broken watch or a failed call, in microseconds; each failed call doubles the backoff.
 const MIN_BACKOFF: Micros = SECOND / 4;
-/// A call that failed in less time than this, in microseconds, did not wait in the service's queue; a failure that took longer
-/// is a *slow failure*.
+/// A call that failed in less time than this, in microseconds, did not wait in the service's queue. A call that reached the
+/// service and failed after this time or more is a *slow failure*.
 const IMMEDIATE_FAILURE_TIME: Micros = SECOND / 4;
 /// Position in a round of the call after more than [`MAX_PROMPT_RETRIES`] consecutive slow failures.
 const LATE_RETRY_POSITION: Range<f64> = 0.5..1.2;
