--- a/dispatcher/src/cli.rs
+++ b/dispatcher/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line interface.
 
 use crate::lifecycle::config::{self, Config, ConfigSources};
 use crate::lifecycle::error_chain::ErrorChain;
@@ -24,28 +24,28 @@
     Version(Version),
 }
 
-/// A subcommand with the options that name the files of the configuration.
+/// Defines a subcommand that takes the configuration options.
 macro_rules! command_with_config {
     ($(#[$meta:meta])* $name:ident) => {
         #[derive(FromArgs)]
         $(#[$meta])*
         struct $name {
-            /// configuration (default: $NODE_CONFIG)
+            /// node configuration file (default: $NODE_CONFIG)
             #[argh(option)]
             config: Option<PathBuf>,
-            /// turns the Gearman front on, with a file such as deploy/gearman.toml
+            /// enables the Gearman front end, with a settings file such as deploy/gearman.toml
             #[argh(option)]
             gearman: Option<PathBuf>,
-            /// turns the export of flows on, with a file such as deploy/ipfix.toml
+            /// enables the IPFIX flow export, with a settings file such as deploy/ipfix.toml
             #[argh(option)]
             ipfix: Option<PathBuf>,
-            /// the operators' file, with a section for each part, such as deploy/operator.toml
+            /// operator file, with a section for each component, such as deploy/operator.toml
             #[argh(option)]
             operator: Option<PathBuf>,
-            /// how much is logged: error, warn, info, debug or trace; goes before the operators' file
+            /// log level: error, warn, info, debug or trace; overrides the operator file
             #[argh(option)]
             log_level: Option<LogLevel>,
-            /// the form of the log: text or json; goes before the operators' file
+            /// log format: text or json; overrides the operator file
             #[argh(option, long = "log-form")]
             log_format: Option<LogFormat>,
         }
@@ -71,7 +71,7 @@
 }
 
 command_with_config! {
-    /// Read the configuration, say what is wrong with it, and start nothing.
+    /// Check the configuration and report errors, without starting the dispatcher.
     #[argh(subcommand, name = "check-config")]
     CheckConfig
 }
@@ -84,16 +84,16 @@
 /// Runs a parsed command line.
 ///
 /// # Errors
-/// The configuration is rejected, or the process cannot start.
+/// Fails if the configuration is invalid or the dispatcher cannot start.
 pub fn run(args: Args) -> Result<(), StartError> {
     match args.command {
         Command::Serve(command) => {
-            // Before anything else: a signal without a handler would end the process.
+            // Installed first, because a signal without a handler would terminate the process.
             let signals = signals::install_signal_handlers().map_err(StartError::Signals)?;
             serve::run(command.load()?, signals)
         }
         Command::CheckConfig(command) => {
-            report_accepted(&command.load()?);
+            report_valid_config(&command.load()?);
             Ok(())
         }
         Command::Version(_) => {
@@ -103,10 +103,10 @@
     }
 }
 
-/// Prints the verdict on an accepted configuration.
-fn report_accepted(config: &Config) {
+/// Prints the warnings of a valid configuration, then that it is valid.
+fn report_valid_config(config: &Config) {
     for warning in &config.warnings {
         eprintln!("roselock: warning: {}", ErrorChain(warning));
     }
-    println!("{}: the configuration is fine", config.name);
+    println!("{}: configuration is valid", config.name);
 }
--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -1,8 +1,8 @@
-//! The configuration that a dispatcher is started with.
+//! Configuration of the dispatcher process.
 
 mod limits;
 mod node_file;
-mod parts;
+mod operator_settings;
 mod settings_file;
 
 use super::load_error::{FileError, LoadError};
@@ -12,80 +12,82 @@
 use crate::wire::list::EndpointList;
 pub use limits::{Limits, ResourceShares};
 use node_file::NodeFile;
-use parts::Parts;
+use operator_settings::OperatorSettings;
 use roselock::Micros;
 use roselock::settings::Site;
 use roselock_dial_limiter::DialLimits;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A configuration that was checked.
+/// A validated configuration.
 pub struct Config {
-    /// The files it was read from, which are read again on SIGHUP.
+    /// The files and options it was loaded from; reread on SIGHUP.
     pub sources: ConfigSources,
-    /// This dispatcher's name.
+    /// Name of this dispatcher.
     pub name: String,
-    /// Where clients and call-backs connect.
+    /// Listen address for clients and callbacks.
     pub listen: SocketAddr,
-    /// Where discovery is, which has the endpoint list.
+    /// Address of discovery, which serves the endpoint list.
     pub discovery: SocketAddr,
-    /// Where the admin address listens, unless it is off.
+    /// Listen address of the admin interface, if it is enabled.
     pub admin: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// What the machine grants.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list as last known.
+    /// The last known endpoint list.
     pub cached_list: EndpointList,
-    /// The settings of the decisions.
+    /// Scheduling settings, with the names of classes, tenants, zones and kinds.
     pub site: Site,
-    /// Whether this dispatcher follows a move of discovery at its place in a first round of polls, not at once.
+    /// After a new discovery address is configured, whether this dispatcher first polls it in its own slot of
+    /// a polling round, rather than immediately.
     pub spread_moves: bool,
-    /// How long after a move of discovery the full list is polled at the earliest.
+    /// Minimum delay from a change of the discovery address to the poll of the full list.
     pub resync_after: Micros,
-    /// Limits of new connections to workers, if there are any.
+    /// Limits on new connections to workers, if configured.
     pub dial_limits: Option<DialLimits>,
-    /// Keys that are accepted and should be changed.
+    /// Warnings about deprecated keys.
     pub warnings: Vec<FileError>,
-    /// The log.
+    /// Log level and format.
     pub log: LogSettings,
-    /// The Gearman front, if it is on.
+    /// Settings of the Gearman front end, if it is enabled.
     pub gearman: Option<gearman::GearmanSettings>,
-    /// The export of flows, if it is on.
+    /// Settings of the IPFIX flow export, if it is enabled.
     pub ipfix: Option<IpfixSettings>,
 }
 
-/// Where the configuration is read from, and what the command line sets in its place.
+/// Files that the configuration is read from, and command-line options that override them.
 #[derive(Clone, Default)]
 pub struct ConfigSources {
-    /// The node's configuration; else `$NODE_CONFIG` names it.
+    /// The node configuration; defaults to the file named by `$NODE_CONFIG`.
     pub config: Option<PathBuf>,
-    /// Turns the Gearman front on.
+    /// Settings file that enables the Gearman front end.
     pub gearman: Option<PathBuf>,
-    /// Turns the export of flows on.
+    /// Settings file that enables the IPFIX flow export.
     pub ipfix: Option<PathBuf>,
-    /// The operators' file, with a section for each part.
+    /// The operator file, with a section for each component.
     pub operator: Option<PathBuf>,
-    /// Takes precedence over the operators' file.
+    /// Overrides the operator file.
     pub log_level: Option<LogLevel>,
-    /// Takes precedence over the operators' file.
+    /// Overrides the operator file.
     pub log_format: Option<LogFormat>,
 }
 
-/// Reads and checks the files; `$NODE_NAME`, `$NODE_LISTEN`, `$NODE_DISCOVERY` and `$NODE_ADMIN` fill their gaps.
+/// Reads and validates the files. `$NODE_NAME`, `$NODE_LISTEN`, `$NODE_DISCOVERY` and `$NODE_ADMIN` supply
+/// values that are missing from the node configuration.
 ///
 /// # Errors
-/// A file cannot be read or parsed, or a key is missing or has a value that is not allowed.
+/// Fails if a file cannot be read or parsed, a required key is missing or a value is invalid.
 pub fn load(sources: ConfigSources) -> Result<Config, LoadError> {
     let mut node = NodeFile::read(sources.config.clone())?;
     let mut site = node.take_site()?;
     let seed = node.seed()?;
     let limits = node.limits();
-    let parts = Parts::load(&sources, limits, &site)?;
-    if let Some(list_call_time) = parts.start.list_call_time {
+    let operator = OperatorSettings::load(&sources, limits, &site)?;
+    if let Some(list_call_time) = operator.start.list_call_time {
         site.settings.list_call_time = list_call_time;
     }
-    site.settings.list_unconfirmed = parts.start.list_unconfirmed;
+    site.settings.list_unconfirmed = operator.start.list_unconfirmed;
     let listen = node.listen()?;
     let discovery = node.discovery()?;
     let admin = node.admin()?;
@@ -99,13 +101,13 @@
         seed,
         limits,
         cached_list,
-        spread_moves: parts.start.spread_moves,
-        resync_after: parts.start.resync_after,
-        dial_limits: parts.start.dial_limits(site.settings.fleet_size),
+        spread_moves: operator.start.spread_moves,
+        resync_after: operator.start.resync_after,
+        dial_limits: operator.start.dial_limits(site.settings.fleet_size),
         site,
-        warnings: parts.warnings,
-        log: parts.log,
-        gearman: parts.gearman,
-        ipfix: parts.ipfix,
+        warnings: operator.warnings,
+        log: operator.log,
+        gearman: operator.gearman,
+        ipfix: operator.ipfix,
     })
 }
--- a/dispatcher/src/lifecycle/config/limits.rs
+++ b/dispatcher/src/lifecycle/config/limits.rs
@@ -1,15 +1,15 @@
-//! What the machine grants the process, and how it is divided.
+//! Resource limits of the process, and their division among its components.
 
 use serde::Deserialize;
 
-/// Most file descriptors, and most MiB of memory, that are divided.
-const MAX_DIVIDED: usize = 1 << 16;
+/// Higher limits are treated as this one; applies to file descriptors and to MiB of memory.
+const MAX_EFFECTIVE_LIMIT: usize = 1 << 16;
 
-/// What the machine grants the process.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
     /// Memory, in MiB.
     pub memory_mb: usize,
@@ -21,34 +21,36 @@
     }
 }
 
-/// The parts of [`Limits`] that go to each user.
+/// The share of [`Limits`] that each component gets.
 pub struct ResourceShares {
-    /// Connections to upstream hosts.
+    /// Maximum number of connections to upstream hosts.
     pub upstream_connections: usize,
-    /// Connections of the HTTP front.
+    /// Maximum number of connections of the HTTP front end.
     pub http_connections: usize,
-    /// Connections of the Gearman front.
+    /// Maximum number of connections of the Gearman front end.
     pub gearman_connections: usize,
-    /// Bytes of messages at the HTTP front that are received or cached, beyond the first few of each.
+    /// Memory for messages that the HTTP front end receives or caches, not counting the first few bytes of
+    /// each.
     pub http_bytes: usize,
-    /// Bytes of the Gearman front's jobs.
+    /// Memory for the jobs of the Gearman front end, in bytes.
     pub gearman_bytes: usize,
 }
 
 impl Limits {
-    /// Divides the limits. The listener, discovery, the runtime and connections that open or close get some descriptors;
-    /// connections and the decisions get half of the memory.
+    /// Divides the limits. Some descriptors are reserved for the listener, discovery, the runtime and
+    /// connections that are being opened or closed. Half of the memory is reserved for connections and the
+    /// scheduling state.
     pub fn shares(&self, has_gearman: bool) -> ResourceShares {
-        let other_fronts = usize::from(has_gearman);
-        let sockets = self.sockets.min(MAX_DIVIDED);
+        let extra_front_ends = usize::from(has_gearman);
+        let sockets = self.sockets.min(MAX_EFFECTIVE_LIMIT);
         let reserved = (sockets / 8).clamp(16, 64);
-        let part = sockets.saturating_sub(reserved) / (3 + other_fronts);
-        let memory = self.memory_mb.clamp(1, MAX_DIVIDED) * (1 << 20);
+        let share = sockets.saturating_sub(reserved) / (3 + extra_front_ends);
+        let memory = self.memory_mb.clamp(1, MAX_EFFECTIVE_LIMIT) * (1 << 20);
         ResourceShares {
-            upstream_connections: part,
-            http_connections: 2 * part,
-            gearman_connections: part,
-            http_bytes: memory / 2 / (1 + other_fronts),
+            upstream_connections: share,
+            http_connections: 2 * share,
+            gearman_connections: share,
+            http_bytes: memory / 2 / (1 + extra_front_ends),
             gearman_bytes: memory / 4,
         }
     }
--- a/dispatcher/src/lifecycle/config/node_file.rs
+++ b/dispatcher/src/lifecycle/config/node_file.rs
@@ -1,4 +1,5 @@
-//! The node's configuration, which the platform writes (`$NODE_CONFIG`), and the environment that fills its gaps.
+//! The node configuration, written by the platform (`$NODE_CONFIG`), with environment variables for missing
+//! values.
 
 use super::limits::Limits;
 use crate::lifecycle::load_error::{FileError, FileProblem, LoadError};
@@ -8,25 +9,26 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The file's content.
+/// Content of the file.
 #[derive(Deserialize)]
 struct NodeConfig {
     #[serde(default)]
     name: String,
     listen: Option<String>,
     discovery: Option<String>,
-    /// The admin address; else `$NODE_ADMIN`; neither: it is off.
+    /// The admin address, which defaults to `$NODE_ADMIN`. The admin interface is off if neither is set.
     admin: Option<String>,
     #[serde(default)]
     seed: serde_json::Value,
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: CachedList,
+    #[serde(rename = "known")]
+    cached_list: CachedList,
     settings: serde_json::Value,
 }
 
-/// The endpoint list as last known.
+/// The last known endpoint list.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct CachedList {
@@ -35,29 +37,29 @@
     targets: Vec<Target>,
 }
 
-/// The node's configuration as it was read.
+/// The parsed node configuration and its path.
 pub struct NodeFile {
     path: PathBuf,
     content: NodeConfig,
 }
 
 impl NodeFile {
-    /// Reads the file, else the one that `$NODE_CONFIG` names.
+    /// Reads the file at `path`, which defaults to `$NODE_CONFIG`.
     ///
     /// # Errors
-    /// No file is named, or it cannot be read or parsed.
+    /// Fails if no file is specified, or if it cannot be read or parsed.
     pub fn read(path: Option<PathBuf>) -> Result<NodeFile, LoadError> {
-        let path = path.or_else(|| environment("NODE_CONFIG").map(PathBuf::from));
+        let path = path.or_else(|| env_var("NODE_CONFIG").map(PathBuf::from));
         let path = path.ok_or(LoadError::NoFile)?;
         let text = std::fs::read_to_string(&path).map_err(|error| FileError::new(&path, error))?;
         let content = serde_json::from_str(&text).map_err(|error| FileError::new(&path, error))?;
         Ok(NodeFile { path, content })
     }
 
-    /// Takes the settings of the decisions, which may be JSON, or JSON within a string.
+    /// Takes the scheduling settings, a JSON object or a string that contains one.
     ///
     /// # Errors
-    /// They cannot be parsed, or have a value that is not allowed.
+    /// Fails if the settings cannot be parsed, contradict each other or have an invalid value.
     pub fn take_site(&mut self) -> Result<Site, FileError> {
         let options: Result<Options, serde_json::Error> = match std::mem::take(&mut self.content.settings) {
             serde_json::Value::String(inner) => serde_json::from_str(&inner),
@@ -72,10 +74,10 @@
         Ok(site)
     }
 
-    /// The seed of random numbers: a hexadecimal string or a number, else 0.
+    /// Seed of the random number generators: a hexadecimal string or a number; 0 by default.
     ///
     /// # Errors
-    /// The string is no hexadecimal number of 64 bits.
+    /// Fails if the string is not a 64-bit hexadecimal number.
     pub fn seed(&self) -> Result<u64, FileError> {
         let serde_json::Value::String(hex) = &self.content.seed else {
             return Ok(self.content.seed.as_u64().unwrap_or(0));
@@ -86,44 +88,47 @@
         })
     }
 
-    /// What the machine grants.
+    /// Resource limits of the process.
     pub fn limits(&self) -> Limits {
         self.content.limits
     }
 
-    /// Where clients and call-backs connect.
+    /// Listen address for clients and callbacks.
     ///
     /// # Errors
-    /// It is missing, or no address.
+    /// Fails if the address is missing or invalid.
     pub fn listen(&self) -> Result<SocketAddr, FileError> {
         self.required_address("listen", self.content.listen.as_ref(), "NODE_LISTEN")
     }
 
-    /// Where discovery is.
+    /// Address of discovery.
     ///
     /// # Errors
-    /// It is missing, or no address.
+    /// Fails if the address is missing or invalid.
     pub fn discovery(&self) -> Result<SocketAddr, FileError> {
         self.required_address("discovery", self.content.discovery.as_ref(), "NODE_DISCOVERY")
     }
 
-    /// The admin address, unless it is off.
+    /// Listen address of the admin interface, if it is enabled.
     ///
     /// # Errors
-    /// It is no address.
+    /// Fails if the address is invalid.
     pub fn admin(&self) -> Result<Option<SocketAddr>, FileError> {
-        let value = self.content.admin.clone().or_else(|| environment("NODE_ADMIN"));
+        let value = self.content.admin.clone().or_else(|| env_var("NODE_ADMIN"));
         match value.filter(|address| !address.trim().is_empty()) {
             Some(value) => self.parse_address("admin", value).map(Some),
             None => Ok(None),
         }
     }
 
-    /// The dispatcher's name, else `$NODE_NAME`, and the endpoint list as last known.
+    /// The dispatcher's name, which defaults to `$NODE_NAME`, and the last known endpoint list.
     pub fn into_name_and_list(self) -> (String, EndpointList) {
-        let NodeConfig { name, known, .. } = self.content;
-        let name = if name.is_empty() { environment("NODE_NAME").unwrap_or_default() } else { name };
-        (name, EndpointList { revision: known.revision, is_complete: true, targets: known.targets })
+        let NodeConfig { name, cached_list, .. } = self.content;
+        let name = if name.is_empty() { env_var("NODE_NAME").unwrap_or_default() } else { name };
+        (
+            name,
+            EndpointList { revision: cached_list.revision, is_complete: true, targets: cached_list.targets },
+        )
     }
 
     fn required_address(
@@ -132,7 +137,7 @@
         value: Option<&String>,
         variable: &str,
     ) -> Result<SocketAddr, FileError> {
-        let value = value.cloned().or_else(|| environment(variable));
+        let value = value.cloned().or_else(|| env_var(variable));
         let value = value.ok_or_else(|| self.error(FileProblem::Missing { key }))?;
         self.parse_address(key, value)
     }
@@ -146,6 +151,6 @@
     }
 }
 
-fn environment(variable: &str) -> Option<String> {
+fn env_var(variable: &str) -> Option<String> {
     std::env::var(variable).ok()
 }
--- a/dispatcher/src/lifecycle/config/parts.rs
+++ b/dispatcher/src/lifecycle/config/operator_settings.rs
@@ -1,4 +1,5 @@
-//! The files that turn parts on: the operators' own, with a section for each part, and those of single parts.
+//! Settings supplied by the operator: the operator file, which has a section for each component, and the
+//! files of single components.
 
 use super::ConfigSources;
 use super::limits::Limits;
@@ -13,7 +14,7 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// The operators' file: a section for each part, and a part without one is off.
+/// Content of the operator file. The Gearman front end and the flow export are off without their section.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OperatorFile {
@@ -27,49 +28,49 @@
     start: StartupSettings,
 }
 
-/// The settings of all parts, checked.
+/// Validated settings of all components.
 #[derive(Default)]
-pub struct Parts {
-    /// The log.
+pub struct OperatorSettings {
+    /// Log level and format.
     pub log: LogSettings,
-    /// The Gearman front, if it is on.
+    /// Settings of the Gearman front end, if it is enabled.
     pub gearman: Option<gearman::GearmanSettings>,
-    /// The export of flows, if it is on.
+    /// Settings of the IPFIX flow export, if it is enabled.
     pub ipfix: Option<IpfixSettings>,
-    /// How the process starts beside others.
+    /// Startup parameters, which limit the load of many dispatchers on discovery and on workers.
     pub start: StartupParameters,
-    /// Keys that are accepted and should be changed.
+    /// Warnings about deprecated keys.
     pub warnings: Vec<FileError>,
 }
 
-impl Parts {
-    /// Reads and checks the files; options of the command line take precedence over them.
+impl OperatorSettings {
+    /// Reads and validates the files, and applies the command-line options that override them.
     ///
     /// # Errors
-    /// A file is rejected, or a part is set in two of them.
-    pub fn load(sources: &ConfigSources, limits: Limits, site: &Site) -> Result<Parts, LoadError> {
-        let mut parts = match &sources.operator {
-            Some(path) => Parts::read_operator_file(path, limits, site)?,
-            None => Parts::default(),
+    /// Fails if a file is invalid, or if two files configure the same component.
+    pub fn load(sources: &ConfigSources, limits: Limits, site: &Site) -> Result<OperatorSettings, LoadError> {
+        let mut settings = match &sources.operator {
+            Some(path) => OperatorSettings::read_operator_file(path, limits, site)?,
+            None => OperatorSettings::default(),
         };
         if let Some(path) = &sources.gearman {
             let gearman = read_gearman_file(path, limits, site)?;
-            if parts.gearman.replace(gearman).is_some() {
-                return Err(LoadError::DuplicateSection { part: "gearman" });
+            if settings.gearman.replace(gearman).is_some() {
+                return Err(LoadError::DuplicateSection { section: "gearman" });
             }
         }
         if let Some(path) = &sources.ipfix {
             let ipfix = read_ipfix_file(path)?;
-            if parts.ipfix.replace(ipfix).is_some() {
-                return Err(LoadError::DuplicateSection { part: "ipfix" });
+            if settings.ipfix.replace(ipfix).is_some() {
+                return Err(LoadError::DuplicateSection { section: "ipfix" });
             }
         }
-        parts.log.level = sources.log_level.unwrap_or(parts.log.level);
-        parts.log.format = sources.log_format.unwrap_or(parts.log.format);
-        Ok(parts)
+        settings.log.level = sources.log_level.unwrap_or(settings.log.level);
+        settings.log.format = sources.log_format.unwrap_or(settings.log.format);
+        Ok(settings)
     }
 
-    fn read_operator_file(path: &Path, limits: Limits, site: &Site) -> Result<Parts, FileError> {
+    fn read_operator_file(path: &Path, limits: Limits, site: &Site) -> Result<OperatorSettings, FileError> {
         let file = SettingsFile::read(path)?;
         let sections: OperatorFile = file.parse()?;
         if let Some(gearman) = &sections.gearman {
@@ -81,7 +82,13 @@
         let start = sections.start.parameters().map_err(|error| file.locate("start.", error))?;
         let deprecated = sections.start.deprecated_key();
         let warnings = deprecated.into_iter().map(|error| file.locate("start.", error)).collect();
-        Ok(Parts { log: sections.log, gearman: sections.gearman, ipfix: sections.ipfix, start, warnings })
+        Ok(OperatorSettings {
+            log: sections.log,
+            gearman: sections.gearman,
+            ipfix: sections.ipfix,
+            start,
+            warnings,
+        })
     }
 }
 
@@ -103,8 +110,12 @@
     Ok(ipfix)
 }
 
-fn check_gearman(file: &gearman::GearmanSettings, limits: Limits, site: &Site) -> Result<(), ConfigError> {
-    gearman::ResolvedSettings::resolve(file, limits.shares(true).gearman_bytes)?;
-    gearman::resolve_functions(file, site)?;
+fn check_gearman(
+    settings: &gearman::GearmanSettings,
+    limits: Limits,
+    site: &Site,
+) -> Result<(), ConfigError> {
+    gearman::ResolvedSettings::resolve(settings, limits.shares(true).gearman_bytes)?;
+    gearman::resolve_functions(settings, site)?;
     Ok(())
 }
--- a/dispatcher/src/lifecycle/config/settings_file.rs
+++ b/dispatcher/src/lifecycle/config/settings_file.rs
@@ -1,4 +1,4 @@
-//! A TOML file of settings.
+//! TOML settings files.
 
 use crate::lifecycle::load_error::{FileError, FileProblem};
 use crate::lifecycle::settings_error::{ConfigError, line_number, line_prefix};
@@ -6,26 +6,26 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// A file of settings that was read.
+/// A settings file that has been read.
 pub struct SettingsFile<'a> {
     path: &'a Path,
     text: String,
 }
 
 impl<'a> SettingsFile<'a> {
-    /// Reads a file.
+    /// Reads the file at `path`.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// Fails if the file cannot be read.
     pub fn read(path: &'a Path) -> Result<SettingsFile<'a>, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::new(path, error))?;
         Ok(SettingsFile { path, text })
     }
 
-    /// Parses it.
+    /// Parses the file.
     ///
     /// # Errors
-    /// It is no TOML, or has an unknown key or a value of a wrong type.
+    /// Fails if the file is not valid TOML, has an unknown key or a value of the wrong type.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, FileError> {
         toml::from_str(&self.text).map_err(|error| {
             let position = error.span().map_or_else(String::new, |span| self.position(&span));
@@ -34,12 +34,12 @@
         })
     }
 
-    /// The error of a setting in this file. `prefix` is what the keys of its part begin with, such as `gearman.`.
+    /// Adds this file's path and the line number to `error`, and `prefix` (such as `gearman.`) to its key.
     pub fn locate(&self, prefix: &str, error: ConfigError) -> FileError {
         FileError::new(self.path, error.locate(&self.text, prefix))
     }
 
-    /// The line of a part of the text, and its key, if it has one.
+    /// The line number of a span, and the key on that line if there is one, each followed by `: `.
     fn position(&self, span: &Range<usize>) -> String {
         let number = line_number(&self.text, span.start);
         let line = self.text.lines().nth(number - 1).unwrap_or_default();
--- a/dispatcher/src/lifecycle/error_chain.rs
+++ b/dispatcher/src/lifecycle/error_chain.rs
@@ -1,9 +1,9 @@
-//! An error with its sources, as one line for people.
+//! Formats an error and its sources as one line.
 
 use std::error::Error;
 use std::fmt;
 
-/// Shows an error and each of its sources, separated by `: `.
+/// Displays an error followed by its chain of sources, separated by `: `.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
--- a/dispatcher/src/lifecycle/inherit.rs
+++ b/dispatcher/src/lifecycle/inherit.rs
@@ -1,8 +1,9 @@
-//! The clients' listener that the platform holds and hands to each process as a descriptor (`$NODE_FD`).
+//! The client listener, which the platform owns and passes to each process as a file descriptor (`$NODE_FD`).
 //!
-//! The only place of the program that may use `unsafe`: taking ownership of a descriptor by its number is unsafe
-//! in Rust, as nothing proves that the number is open and nobody else owns it. What is taken is checked first, by
-//! calls that cannot harm a descriptor of any kind: it has to be an IPv4 or IPv6 stream socket that listens.
+//! This is the only module of the program that may use `unsafe`: taking ownership of a descriptor by its
+//! number is unsafe in Rust, because nothing proves that the descriptor is open and has no other owner. The
+//! descriptor is checked first, by calls that leave descriptors of any kind unchanged: it has to be a
+//! listening IPv4 or IPv6 stream socket.
 #![allow(unsafe_code)]
 
 use may::net::TcpListener;
@@ -13,77 +14,77 @@
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 use thiserror::Error;
 
-/// The variable that names the descriptor.
-pub const VARIABLE: &str = "NODE_FD";
+/// Environment variable that holds the descriptor number.
+pub const FD_VARIABLE: &str = "NODE_FD";
 /// The lowest descriptor that may be inherited: 0 to 2 are standard input, output and error.
 const MIN_DESCRIPTOR: RawFd = 3;
 
-/// Why the descriptor is not adopted.
+/// Why the descriptor cannot be inherited.
 #[derive(Debug, Error)]
 pub enum InheritError {
-    /// The variable is no number.
-    #[error("{VARIABLE} {value:?}")]
+    /// The variable's value is not a descriptor number.
+    #[error("{FD_VARIABLE} {value:?}")]
     NotANumber {
-        /// Its value.
+        /// The variable's value.
         value: String,
-        /// Why not.
+        /// The parse error.
         source: ParseIntError,
     },
-    /// It is a standard stream, or negative.
-    #[error("{VARIABLE} {0}: descriptors below {MIN_DESCRIPTOR} are standard input, output and error")]
+    /// The descriptor is a standard stream, or negative.
+    #[error("{FD_VARIABLE} {0}: descriptors below {MIN_DESCRIPTOR} are standard input, output and error")]
     StandardStream(RawFd),
-    /// It is closed, or no socket.
-    #[error("{VARIABLE} {descriptor}: not a socket")]
+    /// The descriptor is closed or not a socket.
+    #[error("{FD_VARIABLE} {descriptor}: not a socket")]
     NotASocket {
-        /// The descriptor.
+        /// The descriptor number.
         descriptor: RawFd,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// It is no TCP socket.
-    #[error("{VARIABLE} {0}: not a TCP socket")]
+    /// The descriptor is not a TCP socket.
+    #[error("{FD_VARIABLE} {0}: not a TCP socket")]
     NotTcp(RawFd),
-    /// The system does not say whether it listens.
-    #[error("{VARIABLE} {descriptor}: cannot tell whether it listens")]
+    /// Querying whether the socket is listening failed.
+    #[error("{FD_VARIABLE} {descriptor}: cannot determine whether the socket is listening")]
     UnknownState {
-        /// The descriptor.
+        /// The descriptor number.
         descriptor: RawFd,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// It does not listen.
-    #[error("{VARIABLE} {0}: the socket does not listen")]
+    /// The socket is not in the listening state.
+    #[error("{FD_VARIABLE} {0}: the socket does not listen")]
     NotListening(RawFd),
-    /// It has no address.
-    #[error("{VARIABLE} {descriptor}: no address")]
+    /// The socket's local address cannot be determined.
+    #[error("{FD_VARIABLE} {descriptor}: cannot determine the local address")]
     NoAddress {
-        /// The descriptor.
+        /// The descriptor number.
         descriptor: RawFd,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Its address is none of IPv4 or IPv6.
-    #[error("{VARIABLE} {0}: not an internet address")]
+    /// The socket's address is neither IPv4 nor IPv6.
+    #[error("{FD_VARIABLE} {0}: not an IPv4 or IPv6 address")]
     NotInternet(RawFd),
 }
 
-/// A descriptor that is a listener, not adopted yet.
+/// A descriptor that is known to be a listener, and that this process has not taken ownership of yet.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InheritedListener {
     descriptor: RawFd,
-    /// The address it listens on.
+    /// Local address of the listener.
     pub address: SocketAddr,
 }
 
 impl InheritedListener {
-    /// Checks the descriptor that `$NODE_FD` names, without taking it.
+    /// Checks the descriptor that `value`, the content of `$NODE_FD`, names, without taking ownership.
     ///
     /// # Errors
-    /// It is no descriptor that may be inherited, or no TCP socket that listens.
+    /// Fails if the descriptor may not be inherited, or is not a listening TCP socket.
     pub fn check(value: &str) -> Result<InheritedListener, InheritError> {
         let descriptor = parse_descriptor(value)?;
-        // SAFETY: borrowed for the checks below alone, each of which fails with EBADF or ENOTSOCK on a descriptor
-        // that is closed or not a socket, and none of which changes it.
+        // SAFETY: borrowed only for the checks below. Each fails with EBADF or ENOTSOCK on a descriptor that
+        // is closed or not a socket, and none modifies it.
         let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
         let socket = SockRef::from(&borrowed);
         let not_a_socket = |source| InheritError::NotASocket { descriptor, source };
@@ -102,10 +103,10 @@
         Ok(InheritedListener { descriptor, address })
     }
 
-    /// Takes the listener, once in the life of the process.
-    pub fn adopt(self) -> TcpListener {
-        // SAFETY: `check` found a listening TCP socket under this number, inherited at the start and owned by no other
-        // part of the program, and `serve` adopts it once.
+    /// Takes ownership of the descriptor. Called at most once per process.
+    pub fn into_listener(self) -> TcpListener {
+        // SAFETY: `check` found a listening TCP socket under this number. It was inherited at startup, no
+        // other code of the program owns it, and `serve` takes ownership once.
         unsafe { TcpListener::from_raw_fd(self.descriptor) }
     }
 }
--- a/dispatcher/src/lifecycle/listen.rs
+++ b/dispatcher/src/lifecycle/listen.rs
@@ -1,4 +1,5 @@
-//! The listeners: the clients', which the platform may hold and hand down, and those of other parts.
+//! Listening sockets: the client listener, which may be inherited from the platform, and those of other
+//! components.
 
 use super::config::Config;
 use super::error_chain::ErrorChain;
@@ -11,32 +12,33 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// How long an address is tried where this machine is short of something, or the previous process still listens on it.
+/// How long binding is retried while the machine lacks a resource or the previous process still uses the
+/// address.
 const BIND_TIMEOUT: Micros = 3 * SECOND;
 
-/// Why there is no listener.
+/// Why a listener cannot be opened.
 #[derive(Debug, Error)]
 pub enum ListenError {
     /// The address cannot be bound.
-    #[error("cannot listen on {address}{part}")]
+    #[error("cannot listen on {address}{suffix}")]
     Bind {
-        /// The address.
+        /// The address to bind.
         address: SocketAddr,
-        /// Whose it is, such as ` (admin)`; empty for a front.
-        part: &'static str,
-        /// What the system says.
+        /// Names the component in the message, such as ` (admin)`; empty for a front end.
+        suffix: &'static str,
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The listener has no address.
+    /// The listener's address cannot be determined.
     #[error(transparent)]
     NoAddress(io::Error),
 }
 
-/// A listener, and the address it got.
+/// A listening socket and its local address.
 pub struct Listener {
-    /// Accepts connections.
+    /// The socket that accepts connections.
     pub socket: TcpListener,
-    /// Where it listens; the port is the system's choice where 0 was asked for.
+    /// The local address; the operating system chooses the port if 0 was requested.
     pub address: SocketAddr,
 }
 
@@ -47,19 +49,20 @@
     }
 }
 
-/// The clients' listener.
+/// The client listener.
 pub struct ClientListener {
-    /// The listener.
+    /// The listening socket.
     pub listener: Listener,
-    /// The platform holds it, so that the next process can accept on it once this one stops.
+    /// Whether the platform owns the listener, so that the next process can accept on it once this one stops.
     pub is_inherited: bool,
 }
 
-/// Listens at an address; `part` names the part in an error.
+/// Binds an address; `suffix` names the component in an error message.
 ///
 /// # Errors
-/// The address cannot be bound in time, or for another reason than a shortage of this machine.
-pub fn bind(address: SocketAddr, part: &'static str) -> Result<Listener, ListenError> {
+/// Fails if the address cannot be bound in time, or at once on any error other than a local resource
+/// shortage.
+pub fn bind(address: SocketAddr, suffix: &'static str) -> Result<Listener, ListenError> {
     let deadline = clock::now() + BIND_TIMEOUT;
     let mut retry = LocalRetry::default();
     loop {
@@ -67,27 +70,30 @@
             Ok(socket) => return Listener::new(socket),
             Err(ConnectError::Local(_)) if retry.wait(deadline) => {}
             Err(ConnectError::Local(source) | ConnectError::Peer(source)) => {
-                return Err(ListenError::Bind { address, part, source });
+                return Err(ListenError::Bind { address, suffix, source });
             }
         }
     }
 }
 
-/// The clients' listener: the one that the platform holds, where `$NODE_FD` names it, else a new one.
+/// The client listener: inherited from the platform if `$NODE_FD` names one, otherwise newly bound.
 ///
 /// # Errors
-/// There is none to inherit, and the address cannot be bound.
-pub fn for_clients(config: &Config) -> Result<ClientListener, ListenError> {
+/// Fails if there is no listener to inherit and the address cannot be bound.
+pub fn client_listener(config: &Config) -> Result<ClientListener, ListenError> {
     if let Some(inherited) = inherited_listener(config) {
-        return Ok(ClientListener { listener: Listener::new(inherited.adopt())?, is_inherited: true });
+        return Ok(ClientListener {
+            listener: Listener::new(inherited.into_listener())?,
+            is_inherited: true,
+        });
     }
     Ok(ClientListener { listener: bind(config.listen, "")?, is_inherited: false })
 }
 
-/// The listener that `$NODE_FD` names, if it is one.
+/// The inherited listener that `$NODE_FD` names, if it is valid.
 fn inherited_listener(config: &Config) -> Option<InheritedListener> {
     let name = &config.name;
-    let value = std::env::var(inherit::VARIABLE).ok().filter(|value| !value.trim().is_empty())?;
+    let value = std::env::var(inherit::FD_VARIABLE).ok().filter(|value| !value.trim().is_empty())?;
     let inherited = match InheritedListener::check(&value) {
         Ok(inherited) => inherited,
         Err(error) => {
@@ -99,7 +105,7 @@
     if inherited.address != config.listen {
         let address = inherited.address;
         let expected = config.listen;
-        tracing::warn!(%name, %address, %expected, "inherited listener has another address than configured");
+        tracing::warn!(%name, %address, %expected, "inherited listener is not at the configured address");
     }
     Some(inherited)
 }
--- a/dispatcher/src/lifecycle/load_error.rs
+++ b/dispatcher/src/lifecycle/load_error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is rejected.
+//! Errors of loading the configuration.
 
 use super::settings_error::LocatedConfigError;
 use roselock::SettingsError;
@@ -8,94 +8,94 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the configuration is rejected.
+/// An error of loading the configuration.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// No file is named.
-    #[error("no configuration: name one with --config or in NODE_CONFIG")]
+    /// No node configuration file is specified.
+    #[error("no configuration file: set --config or NODE_CONFIG")]
     NoFile,
-    /// A file is rejected.
+    /// A file is unreadable or invalid.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A part has a file of its own and a section of the operators' file.
-    #[error("--{part}: the operators' file has a section [{part}], too; leave one of the two out")]
+    /// A component is configured both by its own file and by a section of the operator file.
+    #[error("--{section} conflicts with section [{section}] of the operator file; remove one of them")]
     DuplicateSection {
-        /// The option and the section.
-        part: &'static str,
+        /// Name of both the option and the section.
+        section: &'static str,
     },
 }
 
-/// A file, and what is wrong with it.
+/// An error in a file, displayed with the file's path.
 #[derive(Debug, Error)]
 #[error("{}", path.display())]
 pub struct FileError {
     path: PathBuf,
-    // Boxed, as it would make each `Result` on the way large.
+    // Boxed, because it would make every `Result` on the call path large.
     #[source]
     problem: Box<FileProblem>,
 }
 
 impl FileError {
-    /// What is wrong with a file.
+    /// Creates the error of the file at `path`.
     pub fn new(path: &Path, problem: impl Into<FileProblem>) -> FileError {
         FileError { path: path.to_owned(), problem: Box::new(problem.into()) }
     }
 }
 
-/// What is wrong with a file.
+/// Why a file is unreadable or invalid.
 #[derive(Debug, Error)]
 pub enum FileProblem {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It is not the JSON that is expected.
+    /// The file is malformed JSON, or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is not the TOML that is expected.
+    /// The file is malformed TOML, or does not have the expected structure.
     #[error("{position}{message}")]
     Toml {
-        /// The line and the key, each followed by `: `, as far as they are known.
+        /// The line number and the key, if known, each followed by `: `.
         position: String,
-        /// What the parser says; it names unknown keys, and what is expected.
+        /// The parser's message, which names unknown keys and the expected ones.
         message: String,
     },
-    /// A setting has a value that is not allowed.
+    /// A setting has an invalid value.
     #[error(transparent)]
     Setting(#[from] LocatedConfigError),
-    /// A key is required, and neither the file nor the environment has it.
+    /// A required key is set neither in the file nor in the environment.
     #[error("{key} is missing")]
     Missing {
         /// The key.
         key: &'static str,
     },
-    /// A value is no address.
+    /// A value is not a socket address.
     #[error("{key} {value:?}")]
     Address {
         /// The key.
         key: &'static str,
         /// The value.
         value: String,
-        /// Why not.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// The seed is no hexadecimal number of 64 bits.
+    /// The seed is not a 64-bit hexadecimal number.
     #[error("seed {value:?}")]
     Seed {
         /// The value.
         value: String,
-        /// Why not.
+        /// The parse error.
         source: ParseIntError,
     },
-    /// The settings of the decisions are not the JSON that is expected.
+    /// The scheduling settings are malformed JSON, or do not have the expected structure.
     #[error("settings")]
     SettingsJson(#[source] serde_json::Error),
-    /// The settings of the decisions contradict each other.
+    /// The scheduling settings contradict each other.
     #[error("settings: {reason}")]
     SettingsConflict {
-        /// How.
+        /// Description of the conflict.
         reason: String,
     },
-    /// A setting of the decisions has a value that is not allowed.
+    /// A scheduling setting has an invalid value.
     #[error("settings")]
     SettingsValue(#[source] SettingsError),
 }
--- a/dispatcher/src/lifecycle/log.rs
+++ b/dispatcher/src/lifecycle/log.rs
@@ -1,7 +1,7 @@
-//! The log: lines of text or of JSON on standard error, written by a thread of its own.
+//! The log: lines of text or JSON, written to standard error by a background thread.
 //!
-//! Logging never blocks. Lines that find the queue to that thread full are dropped and counted; the count is logged
-//! when the process ends.
+//! Logging never blocks. Lines are dropped and counted while the queue to the background thread is full; the
+//! count is logged when the process exits.
 
 use super::log_settings::{LogFormat, LogLevel, LogSettings};
 use std::sync::OnceLock;
@@ -10,13 +10,13 @@
 use tracing_subscriber::prelude::*;
 use tracing_subscriber::{Registry, fmt, reload};
 
-/// Most lines that wait to be written.
+/// Maximum number of queued lines.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// Changes the level of the log that was started.
-static LEVEL: OnceLock<reload::Handle<LevelFilter, Registry>> = OnceLock::new();
+/// Handle that changes the level of the running log.
+static LEVEL_HANDLE: OnceLock<reload::Handle<LevelFilter, Registry>> = OnceLock::new();
 
-/// Writes out the queued lines when it is dropped.
+/// Flushes the queued lines when it is dropped.
 pub struct LogGuard {
     _worker: WorkerGuard,
     dropped: ErrorCounter,
@@ -26,13 +26,13 @@
     fn drop(&mut self) {
         let count = self.dropped.dropped_lines();
         if count > 0 {
-            tracing::warn!(count, "log queue was full, lines were dropped");
+            tracing::warn!(count, "log lines dropped because the log queue was full");
         }
     }
 }
 
 /// Starts the log.
-#[must_use = "the log ends when the guard is dropped"]
+#[must_use = "logging stops when the guard is dropped"]
 pub fn start(settings: LogSettings) -> LogGuard {
     let (writer, worker) = NonBlockingBuilder::default()
         .buffered_lines_limit(QUEUE_CAPACITY)
@@ -48,14 +48,14 @@
         LogFormat::Json => registry.with(layer.json().flatten_event(true)).try_init(),
     };
     if started.is_ok() {
-        let _ = LEVEL.set(handle);
+        let _ = LEVEL_HANDLE.set(handle);
     }
     LogGuard { _worker: worker, dropped }
 }
 
 /// Changes the level of the running log.
 pub fn set_level(level: LogLevel) {
-    if let Some(handle) = LEVEL.get() {
+    if let Some(handle) = LEVEL_HANDLE.get() {
         let _ = handle.reload(LevelFilter::from(level));
     }
 }
--- a/dispatcher/src/lifecycle/log_settings.rs
+++ b/dispatcher/src/lifecycle/log_settings.rs
@@ -1,57 +1,57 @@
-//! `[log]` of the operators' file: how much is logged, and in which format.
+//! The `[log]` section of the operator file: log level and format.
 
 use serde::Deserialize;
 use std::str::FromStr;
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
-/// `[log]` of the operators' file.
+/// The `[log]` section of the operator file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// How much is logged.
+    /// Lowest severity that is logged.
     pub level: LogLevel,
-    /// In which format.
+    /// Format of the log lines.
     #[serde(rename = "form")]
     pub format: LogFormat,
 }
 
-/// How much is logged.
+/// Log level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// What keeps the process from its work.
+    /// Failures that prevent the process from working.
     Error,
-    /// What somebody should look at.
+    /// Conditions that need an operator's attention.
     Warn,
-    /// What changes: start, stop, reload, ejected hosts.
+    /// State changes: start, shutdown, reload, ejected hosts.
     #[default]
     Info,
-    /// A line for each stream's end, too.
+    /// Additionally a line at the end of each stream.
     Debug,
-    /// Everything.
+    /// All log lines.
     Trace,
 }
 
-/// In which format it is logged.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Lines of text.
+    /// Plain text.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The text is no [`LogLevel`].
+/// The text is not a [`LogLevel`].
 #[derive(Debug, Error)]
-#[error("one of: error, warn, info, debug, trace")]
+#[error("expected one of: error, warn, info, debug, trace")]
 pub struct UnknownLogLevel;
 
-/// The text is no [`LogFormat`].
+/// The text is not a [`LogFormat`].
 #[derive(Debug, Error)]
-#[error("one of: text, json")]
+#[error("expected one of: text, json")]
 pub struct UnknownLogFormat;
 
 impl FromStr for LogLevel {
--- a/dispatcher/src/lifecycle/mod.rs
+++ b/dispatcher/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start, reload and stop of the process, and its configuration.
+//! Configuration, startup, reload and shutdown of the process.
 
 pub mod config;
 pub mod error_chain;
--- a/dispatcher/src/lifecycle/relay/reader.rs
+++ b/dispatcher/src/lifecycle/relay/reader.rs
@@ -1,30 +1,30 @@
-//! The other processes' files of call-backs.
+//! Reads the callback files of other processes.
 
 use std::collections::HashMap;
 use std::fs::File;
 use std::io::{Read, Seek, SeekFrom};
 use std::path::PathBuf;
 
-/// Most bytes of one call-back: a body has 64 KiB at most.
+/// Maximum size of one callback: a body is at most 64 KiB.
 const MAX_RECORD_BYTES: usize = 64 << 10;
 
-/// Reads the call-backs that other processes have appended to their files.
+/// Reads the callbacks that other processes append to their files.
 pub struct RelayReader {
     directory: PathBuf,
-    /// What the names of the files begin with.
+    /// The common prefix of the file names.
     prefix: String,
     /// The file of this process, which is not read.
     own_path: PathBuf,
     files: HashMap<PathBuf, RelayFile>,
 }
 
-/// A file of another process, read up to a position.
+/// A file of another process, and the position up to which it has been read.
 struct RelayFile {
     file: File,
     position: u64,
 }
 
-/// Where the reading of a new file begins.
+/// Position at which reading a newly found file starts.
 #[derive(Clone, Copy)]
 enum ReadFrom {
     Start,
@@ -32,14 +32,15 @@
 }
 
 impl RelayReader {
-    /// A reader of what is appended from now on: what was written before this process started is not for it.
+    /// Creates a reader of callbacks that are appended from now on: earlier ones were not meant for this
+    /// process.
     pub fn new(directory: PathBuf, prefix: String, own_path: PathBuf) -> RelayReader {
         let mut reader = RelayReader { directory, prefix, own_path, files: HashMap::new() };
         reader.open_new_files(ReadFrom::End);
         reader
     }
 
-    /// The bodies of the call-backs that were appended since the last call.
+    /// Returns the bodies of the callbacks that were appended since the last call.
     pub fn read_new(&mut self) -> Vec<Vec<u8>> {
         self.open_new_files(ReadFrom::Start);
         self.files.values_mut().flat_map(RelayFile::read_new).collect()
@@ -65,11 +66,11 @@
 }
 
 impl RelayFile {
-    /// The complete records that were appended since the last call.
+    /// Returns the bodies of complete records that were appended since the last call.
     fn read_new(&mut self) -> Vec<Vec<u8>> {
         let mut bytes = Vec::new();
-        let found = self.file.seek(SeekFrom::Start(self.position));
-        if found.is_err() || self.file.read_to_end(&mut bytes).is_err() {
+        let sought = self.file.seek(SeekFrom::Start(self.position));
+        if sought.is_err() || self.file.read_to_end(&mut bytes).is_err() {
             return Vec::new();
         }
         let parsed = parse_records(&bytes);
@@ -78,20 +79,20 @@
     }
 }
 
-/// The complete records at the start of some bytes.
+/// The complete records at the start of a buffer.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct ParsedRecords {
-    /// Their bodies.
+    /// Bodies of the records.
     pub bodies: Vec<Vec<u8>>,
-    /// How many bytes are done with.
+    /// Number of bytes that need not be read again.
     pub consumed: usize,
 }
 
-/// Parses `length \n body \n` records. All that follows a malformed record is skipped.
+/// Parses `length \n body \n` records. Everything after a malformed length is skipped.
 pub(super) fn parse_records(bytes: &[u8]) -> ParsedRecords {
     let mut parsed = ParsedRecords::default();
-    while let Some(digits) = bytes[parsed.consumed..].iter().position(|byte| *byte == b'\n') {
-        let start = parsed.consumed + digits + 1;
+    while let Some(digit_count) = bytes[parsed.consumed..].iter().position(|byte| *byte == b'\n') {
+        let start = parsed.consumed + digit_count + 1;
         let Some(length) = parse_length(&bytes[parsed.consumed..start - 1]) else {
             parsed.consumed = bytes.len();
             return parsed;
--- a/dispatcher/src/lifecycle/relay/writer.rs
+++ b/dispatcher/src/lifecycle/relay/writer.rs
@@ -1,41 +1,42 @@
-//! This process's own file of call-backs.
+//! Writes this process's callback file.
 
 use std::collections::VecDeque;
 use std::fs::File;
 use std::io::Write;
 use std::path::PathBuf;
 
-/// Most bytes a process writes; beyond, call-backs are dropped.
+/// Maximum size of the file; callbacks beyond it are dropped.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Appends call-backs to the file of this process. They were answered, so they are queued while the disk fails.
+/// Appends callbacks to the file of this process. They have already been acknowledged, so they stay queued
+/// while writes fail.
 pub struct RelayWriter {
     path: PathBuf,
     file: Option<File>,
-    /// Bytes of complete records.
+    /// Number of bytes of complete records in the file.
     written: u64,
     queue: VecDeque<Vec<u8>>,
-    /// Call-backs that found the file full.
+    /// Number of callbacks dropped because the file was full.
     dropped: u64,
 }
 
 impl RelayWriter {
-    /// A writer to a file that is created with the first record.
+    /// Creates a writer; the file is created with the first record.
     pub fn new(path: PathBuf) -> RelayWriter {
         RelayWriter { path, file: None, written: 0, queue: VecDeque::new(), dropped: 0 }
     }
 
-    /// How many call-backs are still to be written.
+    /// Number of callbacks that are not written yet.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Queues the bodies of call-backs.
+    /// Queues the bodies of callbacks.
     pub fn enqueue(&mut self, bodies: impl Iterator<Item = Vec<u8>>) {
         self.queue.extend(bodies);
     }
 
-    /// Writes the queued call-backs, as far as the disk and the limit of the file allow.
+    /// Writes queued callbacks until a write fails. Those that exceed the maximum file size are dropped.
     pub fn write_queued(&mut self) {
         while let Some(body) = self.queue.front() {
             let record = [format!("{}\n", body.len()).as_bytes(), body, b"\n"].concat();
@@ -43,23 +44,23 @@
                 self.drop_one();
             } else if let Err(error) = self.append(&record) {
                 let path = self.path.display();
-                tracing::debug!(%path, reason = %error, "cannot relay a call-back yet");
+                tracing::debug!(%path, reason = %error, "cannot write callback to relay file, will retry");
                 return;
             }
             self.queue.pop_front();
         }
     }
 
-    /// Counts a call-back that does not fit; the first one is logged.
+    /// Counts a callback that does not fit into the file, and logs the first one.
     fn drop_one(&mut self) {
         self.dropped += 1;
         if self.dropped == 1 {
             let path = self.path.display();
-            tracing::warn!(%path, bytes = MAX_FILE_BYTES, "call-backs dropped: the relay's file is full");
+            tracing::warn!(%path, bytes = MAX_FILE_BYTES, "callbacks dropped: relay file is full");
         }
     }
 
-    /// Appends a record; a part of one, as a full disk leaves it, is removed.
+    /// Appends a record. A partially written record, left by a full disk for example, is truncated.
     fn append(&mut self, record: &[u8]) -> std::io::Result<()> {
         let file = match &mut self.file {
             Some(file) => file,
--- a/dispatcher/src/lifecycle/reload.rs
+++ b/dispatcher/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Applies a configuration that was read again to the running parts.
+//! Applies a reloaded configuration to the running components.
 
 use super::config::Config;
 use super::log;
@@ -14,18 +14,19 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The parts that a reload, or the end of the process, reaches.
+/// Handles to the running components that a reload or a shutdown affects.
 pub struct ReloadHandles {
     inbox: Inbox,
     fleet: FleetId,
     discovery: DiscoveryHandle,
-    /// Counts the moves of discovery that were configured: a delayed one is void once there is a later one.
+    /// Number of the latest configured move of discovery: a delayed move is discarded once there is a later
+    /// one.
     discovery_moves: Arc<AtomicUsize>,
     gearman: Option<Arc<Gearman>>,
 }
 
 impl ReloadHandles {
-    /// The handles of the running parts. `fleet` is that of the HTTP hosts.
+    /// Collects the handles. `fleet` is the fleet of HTTP hosts.
     pub fn new(
         inbox: Inbox,
         fleet: FleetId,
@@ -35,16 +36,17 @@
         ReloadHandles { inbox, fleet, discovery, discovery_moves: Arc::default(), gearman }
     }
 
-    /// Begins the graceful shutdown.
+    /// Starts the graceful shutdown.
     pub fn request_shutdown(&self) {
         self.inbox.request_shutdown();
     }
 
-    /// Applies a new configuration, and logs the changes that need a restart. `site_in_use` are the settings in use,
-    /// which are those of `old` unless its names were others.
+    /// Applies a new configuration, and logs the changes that need a restart. `site_in_use` holds the
+    /// settings in use; they differ from those of `old` if `old` could not be applied because its names
+    /// differed.
     pub fn reload(&self, old: &Config, new: &Config, site_in_use: &mut Site) {
         let name = &old.name;
-        // Whether or not the settings are applied.
+        // Noted even if the settings are not applied.
         self.inbox.note_client_timeout(max_client_timeout(&new.site.settings));
         if new.discovery != old.discovery {
             self.move_discovery(name, new);
@@ -58,7 +60,7 @@
             tracing::warn!(%name, %change, "keeping the current settings, change takes effect at the next start");
         }
         if new.listen != old.listen || new.limits != old.limits {
-            tracing::info!(%name, change = "address or limits", "change takes effect at the next start");
+            tracing::info!(%name, change = "listen address or limits", "change takes effect at the next start");
         }
         log::set_level(new.log.level);
         self.reload_gearman(name, new, has_same_names);
@@ -77,17 +79,20 @@
 
     fn reload_gearman(&self, name: &str, new: &Config, has_same_names: bool) {
         match (&self.gearman, &new.gearman) {
-            (Some(front), Some(file)) if has_same_names => reload_gearman_front(name, front, file, new),
+            (Some(front), Some(settings)) if has_same_names => {
+                reload_gearman_front(name, front, settings, new)
+            }
             (Some(_), Some(_)) | (None, None) => {}
             (Some(_), None) | (None, Some(_)) => {
-                let change = "Gearman front on or off";
+                let change = "Gearman front end enabled or disabled";
                 tracing::warn!(%name, %change, "change takes effect at the next start");
             }
         }
     }
 
-    /// Moves discovery: at once, or at this dispatcher's place in a first round of polls, as all may be reloaded in the
-    /// same second; the watch at the former address stays open until then.
+    /// Switches to a new discovery address: immediately, or in this dispatcher's slot of a polling round,
+    /// because all dispatchers may be reloaded in the same second. The watch at the old address stays open
+    /// until then.
     fn move_discovery(&self, name: &str, new: &Config) {
         let discovery_move = DiscoveryMove {
             name: name.to_owned(),
@@ -108,30 +113,30 @@
     }
 }
 
-/// A move of discovery that was configured.
+/// A configured change of the discovery address.
 struct DiscoveryMove {
-    /// The dispatcher's name.
+    /// Name of the dispatcher.
     name: String,
-    /// Where discovery is from now on.
+    /// The new address.
     address: SocketAddr,
-    /// Which one of the process's moves it is.
+    /// Sequence number of this move.
     number: usize,
-    /// The number of the latest move.
+    /// Sequence number of the latest move.
     latest: Arc<AtomicUsize>,
     discovery: DiscoveryHandle,
 }
 
 impl DiscoveryMove {
-    /// Moves discovery, unless there is a later move.
+    /// Switches to the new address, unless there is a later move.
     fn apply(&self) {
         let is_latest = self.latest.load(Ordering::SeqCst) == self.number;
         if is_latest && self.discovery.move_to(self.address) {
-            tracing::info!(name = %self.name, address = %self.address, "discovery moved");
+            tracing::info!(name = %self.name, address = %self.address, "discovery address changed");
         }
     }
 }
 
-/// How long a move of discovery is delayed.
+/// Delay before switching to a new discovery address.
 fn move_delay(new: &Config) -> Duration {
     if !new.spread_moves {
         return Duration::ZERO;
@@ -142,10 +147,10 @@
     Duration::from_micros(delay as u64)
 }
 
-fn reload_gearman_front(name: &str, front: &Gearman, file: &gearman::GearmanSettings, new: &Config) {
-    match front.reload(file.clone(), Arc::new(new.site.clone())) {
-        Ok(delayed) => {
-            for change in delayed {
+fn reload_gearman_front(name: &str, front: &Gearman, settings: &gearman::GearmanSettings, new: &Config) {
+    match front.reload(settings.clone(), Arc::new(new.site.clone())) {
+        Ok(deferred) => {
+            for change in deferred {
                 tracing::warn!(%name, %change, "Gearman change takes effect at the next start");
             }
         }
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -1,4 +1,4 @@
-//! The life of the process: start, serve until SIGTERM, graceful shutdown.
+//! Main routine of the process: startup, serving until SIGTERM, graceful shutdown.
 
 use super::config::Config;
 use super::error_chain::ErrorChain;
@@ -14,20 +14,21 @@
 use signal_hook::iterator::Signals;
 use std::time::Duration;
 
-/// Stack of a coroutine, in words: the deepest path parses a head and writes it out.
-const COROUTINE_STACK: usize = 8 * 1024;
-/// Coroutines whose stacks are kept for the next ones: each takes two pages even before its first use.
-const COROUTINE_POOL: usize = 64;
+/// Stack size of a coroutine, in words. The deepest call path parses an HTTP header section and writes it
+/// out.
+const COROUTINE_STACK_WORDS: usize = 8 * 1024;
+/// Number of coroutine stacks kept for reuse. Each takes two pages even before its first use.
+const COROUTINE_POOL_CAPACITY: usize = 64;
 
-/// How long connections may take to close when the process ends.
+/// How long connections may take to close at the end of the shutdown.
 const CLOSE_TIMEOUT: Micros = 300_000;
-/// How often they are looked at meanwhile.
+/// Interval between checks for open connections meanwhile.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Serves until SIGTERM, and then until no response is pending.
 ///
 /// # Errors
-/// A listener cannot be opened, or a part cannot be started.
+/// Fails if a listener cannot be opened or a component cannot be started.
 pub fn run(config: Config, signals: Signals) -> Result<(), StartError> {
     let _log = log::start(config.log);
     for warning in &config.warnings {
@@ -53,24 +54,27 @@
     }
 
     let name = config.name.clone();
-    // The platform's tools read the address from this line.
+    // The platform's tools parse the address from this line.
     tracing::info!("{name}: serving on {}", http.address);
     let handles = ReloadHandles::new(inbox.clone(), fleet, discovery, gearman);
     signals::spawn_handler(signals, config, handles);
-    // This thread owns the decisions from here on.
+    // From here on, this thread runs the event loop and owns the scheduling state.
     core.run();
     close_connections(&http.front.connections, &inbox);
     tracing::info!(%name, "shutdown complete");
     Ok(())
 }
 
-/// One core, shared with the thread that owns the decisions.
+/// Runs coroutines on one thread: the process has one core, which the event loop shares.
 fn configure_coroutines() {
-    may::config().set_workers(1).set_stack_size(COROUTINE_STACK).set_pool_capacity(COROUTINE_POOL);
+    may::config()
+        .set_workers(1)
+        .set_stack_size(COROUTINE_STACK_WORDS)
+        .set_pool_capacity(COROUTINE_POOL_CAPACITY);
 }
 
-/// Closes the clients' connections once nothing is accepted any more: idle ones are told so, and a request that crosses
-/// that is read, so that its client sends it elsewhere.
+/// Closes client connections once the process accepts no more requests. Shutting down the write side tells
+/// idle clients; a request that is already in transit is still read, so that its client sends it elsewhere.
 fn close_connections(connections: &ConnectionLimiter, inbox: &Inbox) {
     connections.finish_writes();
     let deadline = inbox.exit_deadline().min(clock::now() + CLOSE_TIMEOUT);
--- a/dispatcher/src/lifecycle/settings_error.rs
+++ b/dispatcher/src/lifecycle/settings_error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a setting: the file, the line, the key and what is expected.
+//! Errors of single settings: the line, the key, the problem and the expected value.
 
 use std::ops::Range;
 use thiserror::Error;
 
-/// A setting with a value that is not allowed.
+/// A setting has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {problem}; expected: {expected}")]
 pub struct ConfigError {
-    /// Where the value stands in the text of the file, in bytes.
+    /// Byte range of the value in the file.
     span: Option<Range<usize>>,
     key: String,
     problem: String,
@@ -15,7 +15,7 @@
 }
 
 impl ConfigError {
-    /// What is wrong with the value of a key, and what is expected in its place.
+    /// Creates the error of a key from what is wrong with its value and what is expected instead.
     pub fn new(
         span: impl Into<Option<Range<usize>>>,
         key: &str,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Adds the line in the text of the file, and what the keys of the part begin with, such as `gearman.`.
+    /// Adds the line number in `text`, the content of the file, and the key's prefix, such as `gearman.`.
     #[must_use]
     pub fn locate(self, text: &str, prefix: &str) -> LocatedConfigError {
         let line = self.span.as_ref().map(|span| line_number(text, span.start));
@@ -38,22 +38,22 @@
     }
 }
 
-/// A [`ConfigError`] with its line in the file and the key's section.
+/// A [`ConfigError`] with its line number in the file and its key's prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}{prefix}{error}", line_prefix(*line))]
 pub struct LocatedConfigError {
     line: Option<usize>,
     prefix: String,
-    // Shown as a part of this one, so it is no source.
+    // Not a `source`, because this error's message already contains it.
     error: ConfigError,
 }
 
-/// `line 7: `, or nothing where the line is not known.
+/// `line 7: `, or an empty string if the line is unknown.
 pub fn line_prefix(line: Option<usize>) -> String {
     line.map_or_else(String::new, |line| format!("line {line}: "))
 }
 
-/// The line, from 1 on, of a position in a text.
+/// The line number, starting at 1, of a byte position in a text.
 pub fn line_number(text: &str, position: usize) -> usize {
     let before = &text.as_bytes()[..position.min(text.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
--- a/dispatcher/src/lifecycle/signals.rs
+++ b/dispatcher/src/lifecycle/signals.rs
@@ -1,4 +1,4 @@
-//! The signals: SIGHUP reloads the configuration, SIGTERM and SIGINT end the process.
+//! Signal handling: SIGHUP reloads the configuration, SIGTERM and SIGINT shut the process down.
 
 use super::config::{self, Config};
 use super::error_chain::ErrorChain;
@@ -6,22 +6,22 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Installs the handlers of the signals that [`spawn_handler`] handles. Signals that are sent earlier than that are queued
-/// for it.
+/// Installs the signal handlers. Signals that arrive before [`spawn_handler`] is called are queued for it.
 ///
 /// # Errors
-/// The system rejects a handler.
+/// Fails if the operating system rejects a handler.
 pub fn install_signal_handlers() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Handles the signals on a thread of its own, until the process ends.
+/// Handles signals on a dedicated thread until the process exits.
 pub fn spawn_handler(signals: Signals, config: Config, handles: ReloadHandles) {
     std::thread::spawn(move || handle_signals(signals, config, handles));
 }
 
 fn handle_signals(mut signals: Signals, mut config: Config, handles: ReloadHandles) {
-    // The settings in use: a configuration with other names is accepted, but its settings are not applied.
+    // The settings in use. A configuration with different names is accepted, but its settings are not
+    // applied.
     let mut site_in_use = config.site.clone();
     for signal in signals.forever() {
         if signal != SIGHUP {
--- a/dispatcher/src/lifecycle/start_error.rs
+++ b/dispatcher/src/lifecycle/start_error.rs
@@ -1,4 +1,4 @@
-//! Why the process does not start.
+//! Startup errors.
 
 use super::listen::ListenError;
 use super::load_error::LoadError;
@@ -8,28 +8,28 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the process does not start.
+/// Why the process cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The signal handlers cannot be installed.
     #[error(transparent)]
     Signals(io::Error),
-    /// The configuration is rejected.
+    /// The configuration is invalid.
     #[error(transparent)]
     Load(#[from] LoadError),
     /// A listener cannot be opened.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The export of flows cannot be started.
-    #[error("cannot export flows")]
+    /// The IPFIX flow export cannot be started.
+    #[error("cannot start the IPFIX flow export")]
     FlowExport(#[source] io::Error),
-    /// The settings of the decisions are rejected.
+    /// The scheduling settings are invalid.
     #[error(transparent)]
     Fleet(#[from] SettingsError),
-    /// The settings of the Gearman front are rejected.
+    /// The settings of the Gearman front end are invalid.
     #[error(transparent)]
     GearmanSettings(#[from] ConfigError),
-    /// A function of the Gearman front cannot be added.
+    /// A Gearman function cannot be added.
     #[error(transparent)]
     GearmanFunction(#[from] AddFunctionError),
 }
--- a/dispatcher/src/lifecycle/startup.rs
+++ b/dispatcher/src/lifecycle/startup.rs
@@ -1,4 +1,4 @@
-//! The steps of the start, in their order: the parts are made of the configuration, and connected.
+//! The startup steps in order: each creates a component from the configuration and connects it to the others.
 
 use super::config::{Config, ResourceShares};
 use super::listen::{self, Listener};
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the steps of the start share.
+/// State shared by the startup steps.
 pub struct Startup<'a> {
     config: &'a Config,
     site: Arc<Site>,
@@ -28,16 +28,16 @@
     admin_state: AdminState,
 }
 
-/// The HTTP front, accepting connections.
+/// The HTTP front end, which is accepting connections.
 pub struct StartedHttpFront {
-    /// The front.
+    /// The front end.
     pub front: Arc<Front>,
-    /// Where it listens.
+    /// Local address of its listener.
     pub address: SocketAddr,
 }
 
 impl<'a> Startup<'a> {
-    /// The start with a configuration. `inbox` is the way to the decisions.
+    /// Prepares the startup. `inbox` is the input queue of the event loop.
     pub fn new(config: &'a Config, inbox: Inbox) -> Startup<'a> {
         Startup {
             config,
@@ -48,26 +48,26 @@
         }
     }
 
-    /// Starts the export of flows, if it is on.
+    /// Starts the IPFIX flow export, if it is enabled.
     ///
     /// # Errors
-    /// Its socket cannot be opened.
+    /// Fails if its socket cannot be opened.
     pub fn start_flow_export(&self) -> Result<Option<Box<dyn FlowSink>>, StartError> {
         let Some(settings) = &self.config.ipfix else { return Ok(None) };
         let flows = ipfix::start(settings, &self.site).map_err(StartError::FlowExport)?;
         Ok(Some(flows))
     }
 
-    /// Restores the suspended workers of the previous process.
+    /// Restores the suspended workers that the previous process saved.
     pub fn load_suspensions(&self) -> SuspensionStore {
-        let site = self.config.listen.to_string();
-        SuspensionStore::load(site, self.config.name.clone(), self.admin_state.suspensions.clone())
+        let listen_address = self.config.listen.to_string();
+        SuspensionStore::load(listen_address, self.config.name.clone(), self.admin_state.suspensions.clone())
     }
 
-    /// Makes the owner of the decisions, with the fleet of the HTTP hosts.
+    /// Creates the event loop, with the fleet of HTTP hosts.
     ///
     /// # Errors
-    /// The settings of the decisions are rejected.
+    /// Fails if the scheduling settings are invalid.
     pub fn create_core(
         &self,
         inputs: std::sync::mpsc::Receiver<Input>,
@@ -81,8 +81,8 @@
             self.shares.upstream_connections,
             poll_requests,
         );
-        // The endpoint list of this fleet alone expires where discovery is silent: workers that connect to this process
-        // are known by their connections.
+        // Only this fleet's endpoint list expires when discovery is silent: Gearman workers connect to this
+        // process, so their connections show that they exist.
         let settings = Settings { list_lease_enabled: true, ..self.site.settings.clone() };
         let mut core = Core::new(self.inbox.clone(), inputs, flows, self.admin_state.clone());
         let fleet = core.add_fleet(settings, self.config.seed, Some(Box::new(dialer)))?;
@@ -92,7 +92,7 @@
         Ok((core, fleet))
     }
 
-    /// Starts the discovery client, with the cached list.
+    /// Starts the discovery client with the cached endpoint list.
     pub fn start_discovery(
         &self,
         core: &mut Core,
@@ -114,61 +114,61 @@
         may::go!(move || watcher.run(&poll_requests));
     }
 
-    /// Opens the HTTP front.
+    /// Starts the HTTP front end.
     ///
     /// # Errors
-    /// Its address cannot be bound.
+    /// Fails if its address cannot be bound.
     pub fn start_http_front(&self, fleet: FleetId) -> Result<StartedHttpFront, StartError> {
-        let clients = listen::for_clients(self.config)?;
-        let Listener { socket, address } = clients.listener;
+        let client_listener = listen::client_listener(self.config)?;
+        let Listener { socket, address } = client_listener.listener;
         let front = Front::new(FrontParameters {
             site: self.site.clone(),
             inbox: self.inbox.clone(),
             fleet,
             max_connections: self.shares.http_connections,
             body_bytes: self.shares.http_bytes,
-            inherited: clients.is_inherited,
+            inherited: client_listener.is_inherited,
             metrics: self.admin_state.metrics.clone(),
         });
         self.inbox.note_client_timeout(max_client_timeout(&self.config.site.settings));
-        let accepting = front.clone();
-        may::go!(move || front::accept(accepting, &socket));
+        let accepting_front = front.clone();
+        may::go!(move || front::accept(accepting_front, &socket));
         Ok(StartedHttpFront { front, address })
     }
 
-    /// Opens the Gearman front, if it is on.
+    /// Starts the Gearman front end, if it is enabled.
     ///
     /// # Errors
-    /// Its settings are rejected, or its address cannot be bound.
+    /// Fails if its settings are invalid, a function cannot be added or its address cannot be bound.
     pub fn start_gearman_front(
         &self,
         core: &mut Core,
         fleet: FleetId,
     ) -> Result<Option<Arc<Gearman>>, StartError> {
-        let Some(file) = &self.config.gearman else { return Ok(None) };
-        let front = self.create_gearman_front(file, fleet)?;
+        let Some(settings) = &self.config.gearman else { return Ok(None) };
+        let front = self.create_gearman_front(settings, fleet)?;
         core.add_job_source(Box::new(gearman::GearmanJobSource(front.clone())));
-        let Listener { socket, address } = listen::bind(file.listen, "")?;
-        // Tools read the address from this line.
+        let Listener { socket, address } = listen::bind(settings.listen, "")?;
+        // Tools parse the address from this line.
         tracing::info!("{}: Gearman on {address}", self.config.name);
-        let accepting = front.clone();
-        may::go!(move || gearman::accept(accepting, &socket));
-        let timing = front.clone();
-        may::go!(move || gearman::run_timers(&timing));
+        let accepting_front = front.clone();
+        may::go!(move || gearman::accept(accepting_front, &socket));
+        let timer_front = front.clone();
+        may::go!(move || gearman::run_timers(&timer_front));
         Ok(Some(front))
     }
 
     fn create_gearman_front(
         &self,
-        file: &GearmanSettings,
+        settings: &GearmanSettings,
         http_fleet: FleetId,
     ) -> Result<Arc<Gearman>, StartError> {
-        let settings = ResolvedSettings::resolve(file, self.shares.gearman_bytes)?;
+        let resolved = ResolvedSettings::resolve(settings, self.shares.gearman_bytes)?;
         let seed = self.config.seed;
         let incarnation = seed ^ fnv(self.config.name.as_bytes()) ^ clock::now() as u64;
         let front = Arc::new(Gearman::new(GearmanParameters {
-            file: file.clone(),
-            settings,
+            file: settings.clone(),
+            settings: resolved,
             site: self.site.clone(),
             inbox: self.inbox.clone(),
             http_fleet,
@@ -177,16 +177,16 @@
             incarnation,
             max_connections: self.shares.gearman_connections,
         }));
-        for function in gearman::resolve_functions(file, &self.config.site)? {
+        for function in gearman::resolve_functions(settings, &self.config.site)? {
             front.add_function(function)?;
         }
         Ok(front)
     }
 
-    /// Opens the admin address, if it is on.
+    /// Starts the admin interface, if it is enabled.
     ///
     /// # Errors
-    /// It cannot be bound.
+    /// Fails if its address cannot be bound.
     pub fn start_admin(&self) -> Result<(), StartError> {
         let Some(address) = self.config.admin else { return Ok(()) };
         let Listener { socket, address } = listen::bind(address, " (admin)")?;
@@ -197,7 +197,7 @@
             connections: ConnectionLimiter::new(admin::MAX_CONNECTIONS),
         });
         may::go!(move || admin::accept(admin, &socket));
-        // Tools read the address from this line.
+        // Tools parse the address from this line.
         tracing::info!("{}: admin on {address}", self.config.name);
         Ok(())
     }
--- a/dispatcher/src/lifecycle/startup_settings.rs
+++ b/dispatcher/src/lifecycle/startup_settings.rs
@@ -1,4 +1,5 @@
-//! `[start]` of the operators' file: how a dispatcher starts beside hundreds of others.
+//! The `[start]` section of the operator file: limits the load on discovery and workers when hundreds of
+//! dispatchers start together.
 
 use super::settings_error::ConfigError;
 use roselock::{Micros, SECOND};
@@ -7,46 +8,52 @@
 use std::ops::RangeInclusive;
 use toml::Spanned;
 
-/// What the estimate of one list call may be, in milliseconds.
-const LIST_CALL_MS: RangeInclusive<f64> = 1.0..=1000.0;
-/// What the limit of new connections may be, a second at one worker.
-const CONNECTIONS_PER_S: RangeInclusive<f64> = 0.1..=100_000.0;
-/// When the full list may be polled after a move, in seconds.
-const RESYNC_AFTER_S: RangeInclusive<f64> = 0.1..=3600.0;
-/// The same by default: it costs discovery one full list for each dispatcher.
+/// Allowed values of `list_call_ms`, in milliseconds.
+const LIST_CALL_MS_RANGE: RangeInclusive<f64> = 1.0..=1000.0;
+/// Allowed values of `connections_per_s`, in new connections per second to one worker.
+const CONNECTIONS_PER_S_RANGE: RangeInclusive<f64> = 0.1..=100_000.0;
+/// Allowed values of `resync_after_s`, in seconds.
+const RESYNC_AFTER_S_RANGE: RangeInclusive<f64> = 0.1..=3600.0;
+/// Default of `resync_after_s`. The poll costs discovery one full list per dispatcher.
 const DEFAULT_RESYNC_AFTER: Micros = 30 * SECOND;
 
-/// The section; what is missing is as on the platform.
+/// The `[start]` section. Missing keys behave as on the platform, where no operator file is used.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StartupSettings {
-    /// What one poll is estimated to cost discovery before any was made, in milliseconds.
+    /// Initial estimate of the time that one poll takes discovery, in milliseconds, before any poll was made.
     list_call_ms: Option<Spanned<f64>>,
-    /// The cached list is unconfirmed until discovery has answered.
-    careful: bool,
-    /// A discovery that has moved is polled at this dispatcher's place in a first round, not at once.
+    /// Whether the cached list is unconfirmed until discovery has answered.
+    #[serde(rename = "careful")]
+    list_unconfirmed: bool,
+    /// Whether a new discovery address is first polled in this dispatcher's slot of a polling round, rather
+    /// than immediately.
     spread_moves: bool,
-    /// How long after a move the full list is polled, in seconds; until then, changes alone are watched.
+    /// Delay from a change of the discovery address to the poll of the full list, in seconds; until then,
+    /// only changes are watched.
     resync_after_s: Option<Spanned<f64>>,
-    /// Workers that reject new connections are dialled again after a backoff; what needs one waits meanwhile, and cached
-    /// connections that are not used are closed sooner.
+    /// Whether workers that reject new connections are dialled again after a backoff. Requests that need a
+    /// connection wait meanwhile, and unused cached connections are closed sooner.
     dial_backoff: bool,
-    /// The former name of `dial_backoff`.
-    door: Option<Spanned<bool>>,
-    /// New connections a second that all dispatchers together may open at one worker; turns `dial_backoff` on, too.
+    /// Deprecated key for `dial_backoff`.
+    #[serde(rename = "door")]
+    former_dial_backoff: Option<Spanned<bool>>,
+    /// Maximum rate at which all dispatchers together open new connections to one worker, per second; also
+    /// enables `dial_backoff`.
     connections_per_s: Option<Spanned<f64>>,
 }
 
-/// What follows from the section, checked.
+/// Validated parameters from the section.
 #[derive(Clone, Debug)]
 pub struct StartupParameters {
-    /// What one poll is estimated to cost discovery, unless the settings of the decisions hold.
+    /// Initial estimate of the time that one poll takes discovery; if absent, the scheduling settings apply.
     pub list_call_time: Option<Micros>,
     /// Whether the cached list is unconfirmed until discovery has answered.
     pub list_unconfirmed: bool,
-    /// Whether a discovery that has moved is polled at this dispatcher's place in a first round, not at once.
+    /// Whether a new discovery address is first polled in this dispatcher's slot of a polling round, rather
+    /// than immediately.
     pub spread_moves: bool,
-    /// How long after a move the full list is polled at the earliest.
+    /// Minimum delay from a change of the discovery address to the poll of the full list.
     pub resync_after: Micros,
     dial_backoff: bool,
     connections_per_s: Option<f64>,
@@ -66,7 +73,7 @@
 }
 
 impl StartupParameters {
-    /// Limits of new connections, for one of `dispatchers`; none: they are not limited.
+    /// The limits on new connections for one of `dispatchers` dispatchers; `None` if they are unlimited.
     pub fn dial_limits(&self, dispatchers: u32) -> Option<DialLimits> {
         let is_limited = self.dial_backoff || self.connections_per_s.is_some();
         is_limited.then(|| DialLimits::share_of(self.connections_per_s, dispatchers))
@@ -74,18 +81,18 @@
 }
 
 impl StartupSettings {
-    /// Checks the section.
+    /// Validates the section.
     ///
     /// # Errors
-    /// A value is out of its range.
+    /// Fails if a value is out of its range.
     pub fn parameters(&self) -> Result<StartupParameters, ConfigError> {
         let list_call_ms = self.list_call_ms()?;
         let connections_per_s = self.connections_per_s()?;
         let resync_after_s = self.resync_after_s()?;
-        let former_dial_backoff = self.door.as_ref().is_some_and(|door| *door.as_ref());
+        let former_dial_backoff = self.former_dial_backoff.as_ref().is_some_and(|enabled| *enabled.as_ref());
         Ok(StartupParameters {
             list_call_time: list_call_ms.map(|ms| (ms * 1e3) as Micros),
-            list_unconfirmed: self.careful,
+            list_unconfirmed: self.list_unconfirmed,
             spread_moves: self.spread_moves,
             resync_after: resync_after_s
                 .map_or(DEFAULT_RESYNC_AFTER, |seconds| (seconds * SECOND as f64) as Micros),
@@ -94,31 +101,36 @@
         })
     }
 
-    /// A key that has another name now, if the section has one.
+    /// A warning about a deprecated key, if the section has one.
     pub fn deprecated_key(&self) -> Option<ConfigError> {
-        let door = self.door.as_ref()?;
-        Some(ConfigError::new(door.span(), "door", "this key has another name now", "start.dial_backoff"))
+        let former_dial_backoff = self.former_dial_backoff.as_ref()?;
+        Some(ConfigError::new(
+            former_dial_backoff.span(),
+            "door",
+            "this key has another name now",
+            "start.dial_backoff",
+        ))
     }
 
     fn list_call_ms(&self) -> Result<Option<f64>, ConfigError> {
-        let expected = "the milliseconds that one call takes the list service, from 1 to 1000";
-        checked("list_call_ms", self.list_call_ms.as_ref(), &LIST_CALL_MS, expected)
+        let expected = "the duration of one call to discovery in milliseconds, from 1 to 1000";
+        check_range("list_call_ms", self.list_call_ms.as_ref(), &LIST_CALL_MS_RANGE, expected)
     }
 
     fn connections_per_s(&self) -> Result<Option<f64>, ConfigError> {
-        let expected =
-            "new connections a second that all dispatchers may open at one worker, from 0.1 to 100000";
-        checked("connections_per_s", self.connections_per_s.as_ref(), &CONNECTIONS_PER_S, expected)
+        let expected = "new connections per second from all dispatchers to one worker, from 0.1 to 100000";
+        check_range("connections_per_s", self.connections_per_s.as_ref(), &CONNECTIONS_PER_S_RANGE, expected)
     }
 
     fn resync_after_s(&self) -> Result<Option<f64>, ConfigError> {
-        let expected = "the seconds after a move of the list service until the whole list is asked for, from 0.1 to 3600";
-        checked("resync_after_s", self.resync_after_s.as_ref(), &RESYNC_AFTER_S, expected)
+        let expected =
+            "the seconds from a change of the discovery address to the full poll, from 0.1 to 3600";
+        check_range("resync_after_s", self.resync_after_s.as_ref(), &RESYNC_AFTER_S_RANGE, expected)
     }
 }
 
-/// The value of a key, if it has one and it is in its range.
-fn checked(
+/// Returns the value of a key, if it is set, or an error if it is out of range.
+fn check_range(
     key: &str,
     value: Option<&Spanned<f64>>,
     range: &RangeInclusive<f64>,
--- a/dispatcher/src/lifecycle/suspension_store.rs
+++ b/dispatcher/src/lifecycle/suspension_store.rs
@@ -1,6 +1,7 @@
-//! What passes from one process to the next through `$TMPDIR`, the only disk that lasts, and only across an
-//! upgrade: the suspended workers. A thread of its own writes the file when they change, and reads it when
-//! another process has written it, so that a call at either of two processes that serve side by side holds at both.
+//! Passes the suspended workers from one process to the next through a file in `$TMPDIR`, the only storage
+//! that persists, and only across an upgrade. A background thread writes the file when they change, and reads
+//! it when another process has written it, so that suspending or restoring a worker at one of two concurrent
+//! processes applies to both.
 
 use crate::core::Inbox;
 use crate::core::suspensions::{SuspendedWorkers, Suspensions};
@@ -12,87 +13,90 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How often the file is looked at.
+/// Interval between checks of the file.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Keeps the file and the suspended workers in step.
+/// Synchronizes the suspended workers with the file.
 pub struct SuspensionStore {
-    /// The clients' address, which marks the file as ours: the same for both processes of an upgrade.
-    site: String,
-    /// The dispatcher's name.
+    /// The client listen address, which identifies the file as ours: both processes of an upgrade have the
+    /// same.
+    listen_address: String,
+    /// Name of the dispatcher.
     name: String,
     path: PathBuf,
     suspensions: Arc<Suspensions>,
-    /// What the file holds.
-    written: SuspendedWorkers,
-    /// The file as it was last read or written.
-    stamp: Option<FileStamp>,
+    /// The suspended workers as last read from or written to the file.
+    synced: SuspendedWorkers,
+    /// Identifies the file version that was last read or written.
+    fingerprint: Option<FileFingerprint>,
 }
 
-/// Tells that the file changed: each write makes another file, whatever the wall clock says.
+/// Detects changes of the file. Each write creates a new file, so a change shows even if the wall clock is
+/// wrong.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct FileStamp {
+struct FileFingerprint {
     inode: u64,
     modified: SystemTime,
     bytes: u64,
 }
 
 impl SuspensionStore {
-    /// Restores the suspended workers of the previous process. To be called before the admin address opens.
-    pub fn load(site: String, name: String, suspensions: Arc<Suspensions>) -> SuspensionStore {
+    /// Restores the suspended workers that the previous process saved. Must be called before the admin
+    /// interface starts.
+    pub fn load(listen_address: String, name: String, suspensions: Arc<Suspensions>) -> SuspensionStore {
         let path = file_path(&name);
-        // Before the file is read: what is written in between is seen as a change.
-        let stamp = FileStamp::of(&path);
-        let written = SuspendedWorkers::default();
-        let mut store = SuspensionStore { site, name, path, suspensions, written, stamp };
+        // Taken before the file is read, so that a write in between is detected as a change.
+        let fingerprint = FileFingerprint::of(&path);
+        let synced = SuspendedWorkers::default();
+        let mut store = SuspensionStore { listen_address, name, path, suspensions, synced, fingerprint };
         if let Some(saved) = store.read() {
             tracing::info!(name = %store.name, count = saved.ids.len(), "restored suspended workers");
             let sequence = saved.sequence;
             store.suspensions.adopt(saved);
             store.suspensions.mark_saved(sequence);
         }
-        store.written = store.suspensions.workers();
+        store.synced = store.suspensions.workers();
         store
     }
 
-    /// Keeps the file and the suspended workers in step, on a thread of its own, until the process ends.
+    /// Synchronizes the suspended workers with the file on a dedicated thread until the process exits.
     pub fn spawn_sync(mut self, inbox: Inbox) {
         std::thread::spawn(move || {
             loop {
-                self.adopt_changes(&inbox);
-                self.write_changes();
+                self.apply_file_changes(&inbox);
+                self.write_local_changes();
             }
         });
     }
 
-    /// Adopts what another process has written.
-    fn adopt_changes(&mut self, inbox: &Inbox) {
-        let stamp = FileStamp::of(&self.path);
-        if stamp == self.stamp {
+    /// Applies the suspended workers that another process has written to the file.
+    fn apply_file_changes(&mut self, inbox: &Inbox) {
+        let fingerprint = FileFingerprint::of(&self.path);
+        if fingerprint == self.fingerprint {
             return;
         }
-        self.stamp = stamp;
+        self.fingerprint = fingerprint;
         let Some(saved) = self.read() else { return };
-        self.written = saved.clone();
+        self.synced = saved.clone();
         self.suspensions.mark_saved(saved.sequence);
         let count = saved.ids.len();
         if self.suspensions.adopt(saved) {
-            tracing::info!(name = %self.name, count, "adopted suspended workers from another process");
+            tracing::info!(name = %self.name, count, "applied suspended workers from another process");
             inbox.wake();
         }
     }
 
-    /// Waits a little for a change, and writes it.
-    fn write_changes(&mut self) {
-        let current = self.suspensions.wait_for_change(self.written.sequence, POLL_INTERVAL);
-        if current.sequence <= self.written.sequence {
+    /// Waits up to [`POLL_INTERVAL`] for a change, and writes it to the file.
+    fn write_local_changes(&mut self) {
+        let current = self.suspensions.wait_for_change(self.synced.sequence, POLL_INTERVAL);
+        if current.sequence <= self.synced.sequence {
             return;
         }
         match self.write(&current) {
             Ok(()) => {
                 self.suspensions.mark_saved(current.sequence);
-                self.written = current;
-                self.stamp = FileStamp::of(&self.path);
+                self.synced = current;
+                self.fingerprint = FileFingerprint::of(&self.path);
             }
             Err(error) => {
                 let path = self.path.display();
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Reads the file; one that cannot be read or trusted is logged and ignored.
+    /// Reads the file. An unreadable or invalid file is logged and ignored.
     fn read(&self) -> Option<SuspendedWorkers> {
         let name = &self.name;
         let path = self.path.display();
@@ -115,7 +119,7 @@
                 return None;
             }
         };
-        match SuspensionFile::decode(&bytes, &self.site, name, now_ms()) {
+        match SuspensionFile::decode(&bytes, &self.listen_address, name, unix_time_ms()) {
             Ok(file) => {
                 let ids = file.workers.into_iter().collect();
                 Some(SuspendedWorkers { ids, sequence: file.seq })
@@ -127,13 +131,13 @@
         }
     }
 
-    /// Writes a new file, puts it in the place of the old one, and makes sure that both outlast a crash.
+    /// Replaces the file atomically, and syncs the new file and its directory so that both survive a crash.
     fn write(&self, workers: &SuspendedWorkers) -> io::Result<()> {
         let content = SuspensionFile {
-            site: self.site.clone(),
+            site: self.listen_address.clone(),
             name: self.name.clone(),
             seq: workers.sequence,
-            written_ms: now_ms(),
+            written_ms: unix_time_ms(),
             workers: workers.ids.iter().cloned().collect(),
         };
         let new_path = self.path.with_extension(format!("new-{}", std::process::id()));
@@ -148,21 +152,21 @@
     }
 }
 
-impl FileStamp {
-    fn of(path: &Path) -> Option<FileStamp> {
+impl FileFingerprint {
+    fn of(path: &Path) -> Option<FileFingerprint> {
         let metadata = std::fs::metadata(path).ok()?;
         let modified = metadata.modified().ok()?;
-        Some(FileStamp { inode: metadata.ino(), modified, bytes: metadata.len() })
+        Some(FileFingerprint { inode: metadata.ino(), modified, bytes: metadata.len() })
     }
 }
 
 fn file_path(name: &str) -> PathBuf {
-    let replace = |character: char| if character.is_ascii_alphanumeric() { character } else { '_' };
-    let name: String = name.chars().map(replace).collect();
+    let sanitize = |character: char| if character.is_ascii_alphanumeric() { character } else { '_' };
+    let name: String = name.chars().map(sanitize).collect();
     std::env::temp_dir().join(format!("roselock-{name}.suspended"))
 }
 
-/// Milliseconds since the Unix epoch.
-fn now_ms() -> u64 {
+/// The current Unix time in milliseconds.
+fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher on real sockets: the protocols, the owner of the decisions, start and stop.
+//! The dispatcher executable: network protocols, event loop and process lifecycle.
 
 mod cli;
 mod core;
