--- a/dispatcher/src/lifecycle/config/limits.rs
+++ b/dispatcher/src/lifecycle/config/limits.rs
@@ -29,8 +29,8 @@
     pub http_connections: usize,
     /// Maximum number of connections of the Gearman front end.
     pub gearman_connections: usize,
-    /// Memory for messages that the HTTP front end receives or caches, not counting the first few bytes of
-    /// each.
+    /// Memory for messages that the HTTP front end receives or caches, in bytes, not counting the first few
+    /// bytes of each.
     pub http_bytes: usize,
     /// Memory for the jobs of the Gearman front end, in bytes.
     pub gearman_bytes: usize,
--- a/dispatcher/src/lifecycle/config/node_file.rs
+++ b/dispatcher/src/lifecycle/config/node_file.rs
@@ -22,8 +22,7 @@
     seed: serde_json::Value,
     #[serde(default)]
     limits: Limits,
-    #[serde(default)]
-    #[serde(rename = "known")]
+    #[serde(default, rename = "known")]
     cached_list: CachedList,
     settings: serde_json::Value,
 }
--- a/dispatcher/src/lifecycle/reload.rs
+++ b/dispatcher/src/lifecycle/reload.rs
@@ -19,8 +19,8 @@
     inbox: Inbox,
     fleet: FleetId,
     discovery: DiscoveryHandle,
-    /// Number of the latest configured move of discovery: a delayed move is discarded once there is a later
-    /// one.
+    /// Sequence number of the latest configured move of discovery. A delayed move is discarded once there is
+    /// a later one.
     discovery_moves: Arc<AtomicUsize>,
     gearman: Option<Arc<Gearman>>,
 }
@@ -46,7 +46,8 @@
     /// differed.
     pub fn reload(&self, old: &Config, new: &Config, site_in_use: &mut Site) {
         let name = &old.name;
-        // Noted even if the settings are not applied.
+        // Noted even if the settings are not applied, because the platform may derive the time of its SIGKILL
+        // from any settings that it has passed.
         self.inbox.note_client_timeout(max_client_timeout(&new.site.settings));
         if new.discovery != old.discovery {
             self.move_discovery(name, new);
--- a/dispatcher/src/lifecycle/startup_settings.rs
+++ b/dispatcher/src/lifecycle/startup_settings.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StartupSettings {
-    /// Initial estimate of the time that one poll takes discovery, in milliseconds, before any poll was made.
+    /// Estimate of discovery's service time per poll before any poll was made, in milliseconds.
     list_call_ms: Option<Spanned<f64>>,
     /// Whether the cached list is unconfirmed until discovery has answered.
     #[serde(rename = "careful")]
@@ -46,7 +46,8 @@
 /// Validated parameters from the section.
 #[derive(Clone, Debug)]
 pub struct StartupParameters {
-    /// Initial estimate of the time that one poll takes discovery; if absent, the scheduling settings apply.
+    /// Estimate of discovery's service time per poll before any poll was made; if absent, the scheduling
+    /// settings apply.
     pub list_call_time: Option<Micros>,
     /// Whether the cached list is unconfirmed until discovery has answered.
     pub list_unconfirmed: bool,
