--- a/dispatcher/src/wire/gearman/admin.rs
+++ b/dispatcher/src/wire/gearman/admin.rs
@@ -1,4 +1,4 @@
-//! Administrators' commands, each a line of text.
+//! The text commands of the Gearman administrative protocol.
 
 use super::Gearman;
 use super::peer::Peer;
@@ -7,19 +7,19 @@
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
 
-/// Most lines of a list of jobs: an answer is built in memory.
+/// Maximum number of jobs in a list, because replies are built in memory.
 const MAX_LISTED_JOBS: usize = 10_000;
-/// The names of the levels of verbosity.
+/// Replies to `verbose`.
 const VERBOSITY_LEVELS: [&str; 4] = ["ERROR", "WARN", "INFO", "DEBUG"];
 
-/// The answer to a command; none to one that ends the process.
-pub fn answer(front: &Gearman, peer: &Peer, line: &str) -> Option<String> {
+/// Executes a command and returns its reply, or `None` for a command that shuts the process down.
+pub fn execute(front: &Gearman, peer: &Peer, line: &str) -> Option<String> {
     let words: Vec<&str> = line.split_whitespace().collect();
     if is_privileged(&words) && !front.settings.admins.contains(&peer.address.ip()) {
         let text = "only from the addresses under admins in the operators' file";
         return Some(error_line("NOT_PERMITTED", text));
     }
-    let answer = match words.as_slice() {
+    let reply = match words.as_slice() {
         ["version"] => format!("OK {}\n", env!("CARGO_PKG_VERSION")),
         ["status"] => status(front),
         ["prioritystatus"] => priority_status(front),
@@ -39,10 +39,10 @@
         }
         _ => error_line("UNKNOWN_COMMAND", "unknown server command"),
     };
-    Some(answer)
+    Some(reply)
 }
 
-/// Whether only administrators may send a command.
+/// Whether a command is accepted from administrators' addresses only.
 fn is_privileged(words: &[&str]) -> bool {
     matches!(
         words,
@@ -65,12 +65,13 @@
     format!("OK {}\n", VERBOSITY_LEVELS[level])
 }
 
-/// One line for each function, and the end of the list. A function without a line is left out.
+/// Formats one line per function, followed by the end-of-list marker. Functions for which `line` returns `None` are
+/// omitted.
 fn list_functions(front: &Gearman, line: impl Fn(&str, &Counts) -> Option<String>) -> String {
-    let registry = front.functions();
+    let registry = front.function_registry();
     let jobs = front.jobs.lock();
     let mut lines = String::new();
-    for (index, function) in registry.all.iter().enumerate() {
+    for (index, function) in registry.functions.iter().enumerate() {
         let counts = jobs.backlog.counts(index);
         if let Some(line) = line(&function.name, &counts) {
             lines.push_str(&line);
@@ -79,7 +80,7 @@
     lines + ".\n"
 }
 
-/// For each function: its name, its jobs, the running ones among them, and the workers that have registered it.
+/// Per function: its name, and the numbers of jobs, of running jobs and of registered workers.
 fn status(front: &Gearman) -> String {
     list_functions(front, |name, counts| {
         let total = counts.jobs();
@@ -90,7 +91,7 @@
     })
 }
 
-/// For each function: its name, its queued jobs by priority, and the workers that have registered it.
+/// Per function: its name, the number of queued jobs by priority, and the number of registered workers.
 fn priority_status(front: &Gearman) -> String {
     list_functions(front, |name, counts| {
         let [high, normal, low] = counts.queued;
@@ -98,23 +99,23 @@
     })
 }
 
-/// For each connection: its number, its address, its name, and the functions that it has registered.
+/// Per connection: its number, IP address, client ID and registered functions.
 fn workers(front: &Gearman) -> String {
-    let registry = front.functions();
+    let registry = front.function_registry();
     let mut lines = String::new();
     for peer in front.peers.lock().values() {
         let name = peer.name.lock().clone();
         let name = if name.is_empty() { "-" } else { &name };
         let _ = write!(lines, "{} {} {name} :", peer.number, peer.address.ip());
-        for function in peer.able() {
-            let _ = write!(lines, " {}", registry.all[function].name);
+        for function in peer.registered_functions() {
+            let _ = write!(lines, " {}", registry.functions[function].name);
         }
         lines.push('\n');
     }
     lines + ".\n"
 }
 
-/// For each job: its handle, the attempts so far, and whether it is scheduled, queued, running.
+/// Per job: its handle, the number of attempts so far, and whether it is scheduled, queued and running.
 fn show_jobs(front: &Gearman) -> String {
     let jobs = front.jobs.lock();
     let mut listed: Vec<_> = jobs.backlog.iter().collect();
@@ -131,7 +132,7 @@
     lines + ".\n"
 }
 
-/// The unique ids of the jobs that have one.
+/// The unique IDs of all jobs that have one.
 fn show_unique_jobs(front: &Gearman) -> String {
     let jobs = front.jobs.lock();
     let mut listed: Vec<_> = jobs.backlog.iter().filter(|(_, job)| !job.unique.is_empty()).collect();
@@ -144,17 +145,17 @@
     lines + ".\n"
 }
 
-/// The jobs that have ended since the start, by how.
+/// The number of jobs that have ended since the process started, by outcome.
 fn show_ends(front: &Gearman) -> String {
-    let ends = front.jobs.lock().ends;
+    let ended = front.jobs.lock().ended_counts;
     let counts = [
-        ("served", ends.served),
-        ("failed", ends.failed),
-        ("refused", ends.rejected),
-        ("expired", ends.expired),
-        ("cancelled", ends.cancelled),
-        ("left", ends.abandoned),
-        ("lost", ends.lost),
+        ("served", ended.served),
+        ("failed", ended.failed),
+        ("refused", ended.rejected),
+        ("expired", ended.expired),
+        ("cancelled", ended.cancelled),
+        ("left", ended.abandoned),
+        ("lost", ended.lost),
     ];
     let lines: String = counts.iter().map(|(name, count)| format!("{name}\t{count}\n")).collect();
     lines + ".\n"
@@ -164,7 +165,7 @@
     let Some(job_no) = front.job_no(handle.as_bytes()) else {
         return error_line("NOT_FOUND", "no such job");
     };
-    match front.cancel(job_no) {
+    match front.cancel_job(job_no) {
         Cancellation::Cancelled(ended, stream) => {
             front.notify_failed(&ended, b"cancelled");
             if ended.background {
@@ -180,19 +181,19 @@
     }
 }
 
-/// Sets the bound of a function's queues: one for all priorities, or one for each; without sizes that of the file; a
-/// negative one stands for the bound on all jobs.
+/// Sets the queue limits of a function: one size for all priorities, or one size each. Without sizes, the limits from
+/// the settings file are restored. A negative size stands for the limit on the jobs of all functions.
 fn set_max_queue(front: &Gearman, name: &str, sizes: &[&str]) -> String {
-    let registry = front.functions();
+    let registry = front.function_registry();
     let Some(function) = registry.find(name.as_bytes()) else {
         return error_line("UNKNOWN_FUNCTION", "not taken here");
     };
     let parsed: Result<Vec<i64>, _> = sizes.iter().map(|size| size.parse::<i64>()).collect();
-    let bound = |size: i64| usize::try_from(size).unwrap_or(front.settings.bounds.jobs);
+    let limit = |size: i64| usize::try_from(size).unwrap_or(front.settings.bounds.jobs);
     let max_queue = match parsed.as_deref() {
-        Ok([]) => registry.all[function].queue.max_queue,
-        Ok([all]) => [bound(*all); 3],
-        Ok([high, normal, low]) => [bound(*high), bound(*normal), bound(*low)],
+        Ok([]) => registry.functions[function].queue.max_queue,
+        Ok([all]) => [limit(*all); 3],
+        Ok([high, normal, low]) => [limit(*high), limit(*normal), limit(*low)],
         _ => return error_line("INCOMPLETE_ARGS", "one size, or one each for high, ordinary and low"),
     };
     front.jobs.lock().backlog.set_max_queue(function, max_queue);
@@ -200,17 +201,17 @@
 }
 
 fn create_function(front: &Gearman, name: &str) -> String {
-    let Some(function) = front.function_for(name.as_bytes()) else {
+    let Some(function) = front.find_or_add_function(name.as_bytes()) else {
         let text = "the operators' file neither names it nor has a default entry";
         return error_line("UNKNOWN_FUNCTION", text);
     };
-    let queue = front.functions().all[function].queue.clone();
+    let queue = front.function_registry().functions[function].queue.clone();
     front.jobs.lock().backlog.reconfigure(function, queue);
     "OK\n".into()
 }
 
 fn drop_function(front: &Gearman, name: &str) -> String {
-    let Some(function) = front.functions().find(name.as_bytes()) else {
+    let Some(function) = front.function_registry().find(name.as_bytes()) else {
         return error_line("UNKNOWN_FUNCTION", "not taken here");
     };
     let counts = front.jobs.lock().backlog.counts(function);
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: bytes come in, packets are handled, answers go out.
+//! Accepts connections, and reads and handles the packets of each one.
 
 use super::outbox::{self, Outbox, OutboxMessage};
 use super::packet_handler::PacketHandler;
@@ -22,16 +22,16 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a connection without jobs may be silent, in microseconds.
+/// Idle timeout of a connection that is not a worker's and waits for no job, in microseconds.
 const IDLE_TIMEOUT: Micros = 3600 * SECOND;
-/// Least rate of a large packet, beyond the time that any packet has, in bytes a second.
-const MIN_RATE: Micros = 64 * 1024;
-/// Bytes that a packet may have beside a job's data, for the names in it.
-pub const MAX_NAMES_BYTES: usize = 4096;
-/// How often a connection whose peer does not read is checked again.
-const HIGH_OUTBOX_INTERVAL: Duration = Duration::from_millis(1);
+/// Minimum transfer rate of a large packet, in bytes per second, by which its read timeout is extended.
+const MIN_LARGE_PACKET_BYTES_PER_S: Micros = 64 * 1024;
+/// Maximum bytes of a packet's arguments other than the job's data, such as function names.
+pub const MAX_PACKET_OVERHEAD_BYTES: usize = 4096;
+/// How often a congested outbox is checked before reading from its connection resumes.
+const CONGESTION_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Accepts connections for ever.
+/// Accepts connections until the process ends.
 pub fn accept(front: Arc<Gearman>, listener: &TcpListener) {
     let connections = front.connections.clone();
     connections.accept(listener, || true, move |stream, address| serve(&front, stream, address));
@@ -39,52 +39,52 @@
 
 fn serve(front: &Arc<Gearman>, stream: TcpStream, address: SocketAddr) {
     let socket = Socket::new(stream);
-    let (messages, posted) = channel();
-    let number = front.next_peer.fetch_add(1, Ordering::SeqCst);
-    let outbox = Outbox::new(messages, socket.clone(), front.settings.max_outbox_bytes);
+    let (sender, receiver) = channel();
+    let number = front.next_peer_number.fetch_add(1, Ordering::SeqCst);
+    let outbox = Outbox::new(sender, socket.clone(), front.settings.max_outbox_bytes);
     let peer = Arc::new(Peer::new(number, address, outbox));
     front.peers.lock().insert(number, peer.clone());
     let writer_front = front.clone();
     let writer_peer = peer.clone();
     let writer_socket = socket.clone();
-    may::go!(move || outbox::run_writer(&writer_front, &writer_peer, &writer_socket, &posted));
+    may::go!(move || outbox::run_writer(&writer_front, &writer_peer, &writer_socket, &receiver));
     Reader::new(front, &peer, &socket).run();
-    // Whatever it ran or waited for, it is gone.
+    // The connection has ended: release the jobs that it ran or waited for.
     front.peers.lock().remove(&number);
     peer.disconnect_worker(front);
     job_endings::disconnect_client(front, &peer);
-    let _ = peer.outbox.post(OutboxMessage::End);
-    if !peer.outbox.has_overflown() {
+    let _ = peer.outbox.post(OutboxMessage::ReaderEnded);
+    if !peer.outbox.has_overflowed() {
         socket.close();
     }
 }
 
-/// Reads from a connection until that ends.
+/// Reads from a connection until it ends.
 struct Reader<'a> {
     front: &'a Arc<Gearman>,
     peer: &'a Arc<Peer>,
     socket: &'a Socket,
     decoder: Decoder,
     packets: PacketHandler<'a>,
-    /// When its first packet must have come.
-    first_packet_by: Micros,
-    /// Until it has sent a packet it is among the first that are shed.
+    /// When the first packet must be complete.
+    first_packet_deadline: Micros,
+    /// Until the first packet arrives, the connection is among the first to be shed.
     unidentified: Option<SheddableConnection>,
-    /// When the packet under way must be complete.
-    packet_complete_by: Micros,
+    /// When the packet that is being read must be complete.
+    packet_deadline: Micros,
 }
 
-/// What came of waiting for bytes.
-enum Received {
-    /// So many bytes.
+/// The outcome of a read that leaves the connection open.
+enum ReadOutcome {
+    /// The number of bytes read.
     Bytes(usize),
-    /// None yet: it may be silent, since it runs a job or waits for one.
-    Silent,
+    /// The idle timeout has passed on a connection that is a worker's or waits for a job, and may therefore be idle.
+    IdleTimeout,
 }
 
 impl<'a> Reader<'a> {
     fn new(front: &'a Arc<Gearman>, peer: &'a Arc<Peer>, socket: &'a Socket) -> Reader<'a> {
-        let packet = front.settings.max_job_bytes + MAX_NAMES_BYTES;
+        let packet = front.settings.max_job_bytes + MAX_PACKET_OVERHEAD_BYTES;
         let limits = Limits { packet, ..Limits::default() };
         Reader {
             front,
@@ -92,9 +92,9 @@
             socket,
             decoder: Decoder::new(Magic::Req, limits),
             packets: PacketHandler::new(front, peer),
-            first_packet_by: deadline_after(FIRST_REQUEST_TIMEOUT),
+            first_packet_deadline: deadline_after(FIRST_REQUEST_TIMEOUT),
             unidentified: Some(front.connections.mark_sheddable(ShedPriority::Unidentified, socket)),
-            packet_complete_by: 0,
+            packet_deadline: 0,
         }
     }
 
@@ -102,12 +102,12 @@
         let mut buffer = vec![0; CHUNK];
         loop {
             let received = match self.receive(&mut buffer) {
-                ControlFlow::Continue(Received::Bytes(received)) => received,
-                ControlFlow::Continue(Received::Silent) => continue,
+                ControlFlow::Continue(ReadOutcome::Bytes(received)) => received,
+                ControlFlow::Continue(ReadOutcome::IdleTimeout) => continue,
                 ControlFlow::Break(()) => return,
             };
             if !self.decoder.is_inside() {
-                self.packet_complete_by = deadline_after(REQUEST_READ_TIMEOUT);
+                self.packet_deadline = deadline_after(REQUEST_READ_TIMEOUT);
             }
             self.decoder.feed(&buffer[..received]);
             if self.handle_frames().is_break() {
@@ -116,52 +116,52 @@
         }
     }
 
-    /// Waits for bytes. Breaks where the connection has ended or been shed.
-    fn receive(&self, buffer: &mut [u8]) -> ControlFlow<(), Received> {
-        let has_jobs = self.has_jobs();
+    /// Reads from the socket. Breaks if the connection has ended or was shed.
+    fn receive(&self, buffer: &mut [u8]) -> ControlFlow<(), ReadOutcome> {
+        let is_worker_or_waiting = self.is_worker_or_waiting();
         let is_inside = self.decoder.is_inside();
         let is_identified = self.unidentified.is_none();
-        let is_idle = is_identified && !has_jobs && !is_inside;
+        let is_idle = is_identified && !is_worker_or_waiting && !is_inside;
         let idle = is_idle.then(|| self.front.connections.mark_sheddable(ShedPriority::Idle, self.socket));
-        let until = self.read_deadline();
+        let deadline = self.read_deadline();
         if self.front.settings.quick_ack && self.peer.is_worker.load(Ordering::Relaxed) && !is_inside {
-            // Its library may hold its next packet back until this one is acknowledged.
+            // With Nagle's algorithm, a worker's library delays its next packet until this one is acknowledged.
             self.socket.acknowledge();
         }
-        let received = self.socket.read(buffer, until);
+        let received = self.socket.read(buffer, deadline);
         if idle.is_some_and(|idle| !idle.reclaim()) {
             return ControlFlow::Break(());
         }
         match received {
             Ok(0) => ControlFlow::Break(()),
-            Ok(received) => ControlFlow::Continue(Received::Bytes(received)),
+            Ok(received) => ControlFlow::Continue(ReadOutcome::Bytes(received)),
             Err(error) => {
                 let is_timeout = error.kind() == ErrorKind::TimedOut;
-                if is_timeout && is_identified && !is_inside && has_jobs {
-                    return ControlFlow::Continue(Received::Silent);
+                if is_timeout && is_identified && !is_inside && is_worker_or_waiting {
+                    return ControlFlow::Continue(ReadOutcome::IdleTimeout);
                 }
                 ControlFlow::Break(())
             }
         }
     }
 
-    /// Whether it is a worker, or waits for a job.
-    fn has_jobs(&self) -> bool {
+    /// Whether the connection has registered a function or waits for the result of a job.
+    fn is_worker_or_waiting(&self) -> bool {
         let is_worker = self.peer.worker.lock().is_worker();
         is_worker || self.front.jobs.lock().backlog.jobs_awaited_by(self.peer.number) > 0
     }
 
     fn read_deadline(&self) -> Micros {
         if self.unidentified.is_some() {
-            self.first_packet_by
+            self.first_packet_deadline
         } else if self.decoder.is_inside() {
-            self.packet_complete_by
+            self.packet_deadline
         } else {
             deadline_after(IDLE_TIMEOUT)
         }
     }
 
-    /// Handles all frames that are complete. Breaks where the connection is to end.
+    /// Handles all complete frames. Breaks if the connection must be closed.
     fn handle_frames(&mut self) -> ControlFlow<()> {
         loop {
             let frame = match self.decoder.next_frame() {
@@ -182,18 +182,20 @@
             {
                 return ControlFlow::Break(());
             }
-            self.packet_complete_by = deadline_after(REQUEST_READ_TIMEOUT);
+            self.packet_deadline = deadline_after(REQUEST_READ_TIMEOUT);
             self.packets.handle_frame(frame);
-            // Nothing is read from a peer that does not read what it asked for.
-            while self.peer.outbox.is_high() {
-                may::coroutine::sleep(HIGH_OUTBOX_INTERVAL);
+            // Backpressure: read nothing more until the peer has read its pending replies.
+            while self.peer.outbox.is_congested() {
+                may::coroutine::sleep(CONGESTION_POLL_INTERVAL);
             }
         }
     }
 
-    /// A large packet has more time, and is dropped if its job would not fit into memory.
+    /// Extends the read timeout by the size of a large packet, and skips a submission whose job would exceed the memory
+    /// limit.
     fn begin_large_packet(&mut self, kind: Kind, size: usize) {
-        self.packet_complete_by = deadline_after(REQUEST_READ_TIMEOUT + size as Micros * SECOND / MIN_RATE);
+        self.packet_deadline =
+            deadline_after(REQUEST_READ_TIMEOUT + size as Micros * SECOND / MIN_LARGE_PACKET_BYTES_PER_S);
         if submission::is_submission(kind) && !submission::has_capacity_for(self.front, size) {
             self.decoder.skip();
         }
--- a/dispatcher/src/wire/gearman/function.rs
+++ b/dispatcher/src/wire/gearman/function.rs
@@ -1,6 +1,6 @@
-//! The functions that this front knows: resolved from their entries in the file, and found by name.
+//! The functions of the Gearman front, resolved from the settings file and looked up by name.
 
-use super::number_settings::{AllowedRange, micros, number_in_range};
+use super::number_settings::{AllowedRange, micros_from_seconds, number_in_range};
 use super::settings::{FunctionEntry, GearmanSettings, MaxQueue};
 use crate::core::FleetId;
 use crate::lifecycle::settings_error::ConfigError;
@@ -10,55 +10,56 @@
 use std::collections::HashMap;
 use toml::Spanned;
 
-/// Released jobs at a time, of a function that goes to the HTTP hosts: the decisions know the capacity of these.
+/// Maximum number of released jobs of a function that runs on HTTP hosts. The window is fixed because the decision logic
+/// knows the capacity of these hosts.
 const HTTP_WINDOW: usize = 64;
-/// Longest attempt that can be configured, in seconds.
-const MAX_RUN_S: f64 = 86_400.0;
-/// Longest wait for a worker that can be configured, in seconds.
+/// Maximum configurable duration of an attempt, in seconds.
+const MAX_ATTEMPT_S: f64 = 86_400.0;
+/// Maximum configurable wait for a worker, in seconds.
 const MAX_WAIT_S: f64 = 366.0 * 86_400.0;
-/// Most queued jobs of one priority where the file has no bound.
+/// Default maximum number of queued jobs per priority.
 const DEFAULT_MAX_QUEUE: usize = 20_000;
-/// Most attempts of a job, whatever the settings of the decisions allow.
+/// Maximum number of attempts of a job, even if the scheduling settings allow more.
 const MAX_ATTEMPTS: u32 = 4;
-/// Longest name of a function, in bytes.
+/// Maximum length of a function name, in bytes.
 const MAX_NAME_BYTES: usize = 512;
 
-/// A function that jobs can be submitted for.
+/// A function for which jobs can be submitted.
 #[derive(Clone, Debug)]
 pub struct Function {
-    /// Its name.
+    /// The name of the function.
     pub name: String,
-    /// The classes of its jobs by priority: high, normal, low.
+    /// The classes of the jobs by priority: high, normal, low.
     pub classes: [ClassId; 3],
-    /// Whether its jobs are idempotent, by priority.
+    /// Whether the jobs are idempotent, by priority.
     pub idempotent: [bool; 3],
-    /// The tenant of its jobs.
+    /// The tenant of the jobs.
     pub tenant: Option<TenantId>,
-    /// The path at the HTTP hosts, if its jobs go there.
+    /// The path at the HTTP hosts, if they run the function.
     pub path: Option<String>,
-    /// The fleet that runs it.
+    /// The fleet that runs the function.
     pub fleet: FleetId,
-    /// How its jobs are queued and released.
+    /// The queue settings.
     pub queue: FunctionSettings,
 }
 
 impl Function {
-    /// Whether Gearman workers run it.
+    /// Whether Gearman workers, as opposed to HTTP hosts, run the function.
     pub fn runs_on_workers(&self) -> bool {
         self.path.is_none()
     }
 }
 
-/// The functions by index and by name. The index of a function stays the same for the life of the process.
+/// All functions, by index and by name. A function keeps its index for the lifetime of the process.
 #[derive(Clone, Debug, Default)]
 pub struct FunctionRegistry {
-    /// By index.
-    pub all: Vec<Function>,
+    /// The functions by index.
+    pub functions: Vec<Function>,
     by_name: HashMap<Vec<u8>, usize>,
 }
 
 impl FunctionRegistry {
-    /// The index of a function.
+    /// Looks up the index of a function by name.
     pub fn find(&self, name: &[u8]) -> Option<usize> {
         self.by_name.get(name).copied()
     }
@@ -66,17 +67,17 @@
     /// Adds or replaces a function, and returns its index.
     pub fn insert(&mut self, function: Function) -> usize {
         if let Some(index) = self.find(function.name.as_bytes()) {
-            self.all[index] = function;
+            self.functions[index] = function;
             return index;
         }
-        let index = self.all.len();
+        let index = self.functions.len();
         self.by_name.insert(function.name.clone().into_bytes(), index);
-        self.all.push(function);
+        self.functions.push(function);
         index
     }
 }
 
-/// Whether a name may be that of a function.
+/// Whether a function may have this name.
 pub fn is_valid_name(name: &[u8]) -> bool {
     let is_allowed = |byte: &u8| *byte != 0 && !byte.is_ascii_whitespace() && !byte.is_ascii_control();
     !name.is_empty()
@@ -85,17 +86,17 @@
         && std::str::from_utf8(name).is_ok()
 }
 
-/// Resolves the functions that the file names, and checks the entry for all others.
+/// Resolves the functions named in the file, and validates the default entry.
 ///
 /// # Errors
-/// The setting that is rejected.
+/// If a setting is invalid.
 pub fn resolve_functions(file: &GearmanSettings, site: &Site) -> Result<Vec<Function>, ConfigError> {
     let mut functions: Vec<Function> = Vec::new();
     for entry in &file.function {
         let name = entry_name(entry)?;
         if functions.iter().any(|function| function.name == *name.get_ref()) {
-            let problem = format!("{:?} is named twice", name.get_ref());
-            return Err(ConfigError::new(name.span(), "name", problem, "leave one of the two out"));
+            let problem = format!("duplicate function {:?}", name.get_ref());
+            return Err(ConfigError::new(name.span(), "name", problem, "a unique name"));
         }
         functions.push(resolve_function(entry, name.get_ref(), site)?);
     }
@@ -108,31 +109,31 @@
 fn entry_name(entry: &FunctionEntry) -> Result<&Spanned<String>, ConfigError> {
     let Some(name) = &entry.name else {
         let span = entry.class.span();
-        return Err(ConfigError::new(span, "name", "a function has none", "name = \"...\""));
+        return Err(ConfigError::new(span, "name", "a function has no name", "name = \"...\""));
     };
     if !is_valid_name(name.get_ref().as_bytes()) {
-        let problem = format!("{:?} is no function's name", name.get_ref());
-        return Err(ConfigError::new(name.span(), "name", problem, "1 to 512 bytes without blanks"));
+        let problem = format!("invalid function name {:?}", name.get_ref());
+        return Err(ConfigError::new(name.span(), "name", problem, "1 to 512 bytes without whitespace"));
     }
     Ok(name)
 }
 
 fn check_default_entry(entry: &FunctionEntry, site: &Site) -> Result<(), ConfigError> {
     if let Some(name) = &entry.name {
-        let problem = "the entry for functions that are not named has one";
-        return Err(ConfigError::new(name.span(), "default.name", problem, "leave it out"));
+        let problem = "the default entry has a name";
+        return Err(ConfigError::new(name.span(), "default.name", problem, "no name"));
     }
     if resolve_function(entry, "default", site)?.path.is_some() {
-        let problem = "functions that are not named go to Gearman workers";
+        let problem = "functions added by the default entry run on Gearman workers";
         return Err(ConfigError::new(entry.target.span(), "default.target", problem, "\"gearman\""));
     }
     Ok(())
 }
 
-/// Resolves one function. Its fleet is 0 until it is added to the front.
+/// Resolves one function. The fleet is 0 until the function is added to the front.
 ///
 /// # Errors
-/// The setting that is rejected.
+/// If a setting is invalid.
 pub fn resolve_function(entry: &FunctionEntry, name: &str, site: &Site) -> Result<Function, ConfigError> {
     let tenant = resolve_tenant(entry, site)?;
     let path = resolve_path(&entry.target)?;
@@ -162,7 +163,7 @@
     Ok(Some(TenantId(tenant as u16)))
 }
 
-/// The path of a target at the HTTP hosts; none for Gearman workers.
+/// The path of a target at the HTTP hosts, or `None` for Gearman workers.
 fn resolve_path(target: &Spanned<String>) -> Result<Option<String>, ConfigError> {
     let text = target.get_ref().as_str();
     if text == "gearman" {
@@ -171,12 +172,12 @@
     if text.starts_with('/') && text.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(Some(text.to_owned()));
     }
-    let problem = format!("{text:?} is neither");
+    let problem = format!("invalid target {text:?}");
     let expected = "\"gearman\", or a path such as \"/api/pay\"";
     Err(ConfigError::new(target.span(), "target", problem, expected))
 }
 
-/// The classes by priority.
+/// The classes by priority: high, normal, low.
 fn resolve_classes(entry: &FunctionEntry, site: &Site) -> Result<[ClassId; 3], ConfigError> {
     let normal = resolve_class("class", &entry.class, site)?;
     let high = match &entry.class_high {
@@ -205,9 +206,9 @@
     classes: [ClassId; 3],
     site: &Site,
 ) -> Result<FunctionSettings, ConfigError> {
-    let run_range = AllowedRange { least: f64::MIN_POSITIVE, most: MAX_RUN_S };
-    let run_s = number_in_range("deadline_s", Some(&entry.deadline_s), 0.0, run_range)?;
-    let wait_range = AllowedRange { least: 0.001, most: MAX_WAIT_S };
+    let attempt_range = AllowedRange { min: f64::MIN_POSITIVE, max: MAX_ATTEMPT_S };
+    let run_s = number_in_range("deadline_s", Some(&entry.deadline_s), 0.0, attempt_range)?;
+    let wait_range = AllowedRange { min: 0.001, max: MAX_WAIT_S };
     let background_wait_s =
         number_in_range("background_s", entry.background_s.as_ref(), 86_400.0, wait_range)?;
     let background_run_s = if is_http { run_s } else { background_run_seconds(entry, run_s)? };
@@ -217,20 +218,21 @@
     Ok(FunctionSettings {
         queued: entry.queue,
         max_queue: entry.max_queue.map_or([DEFAULT_MAX_QUEUE; 3], MaxQueue::by_priority),
-        max_wait: micros(wait_s),
-        max_wait_background: micros(background_wait_s),
-        run_timeout: [micros(run_s), micros(background_run_s)],
+        max_wait: micros_from_seconds(wait_s),
+        max_wait_background: micros_from_seconds(background_wait_s),
+        run_timeout: [micros_from_seconds(run_s), micros_from_seconds(background_run_s)],
         max_attempts: settings.limits.max_attempts.min(MAX_ATTEMPTS),
         window: release_window(entry.queue, is_http, objectives),
     })
 }
 
-/// How long a background job may run on Gearman workers. The decisions take a time budget that is much smaller than the
-/// largest of its class for a later attempt of an impatient client, so there is a least value.
+/// How long an attempt of a background job may take on Gearman workers, in seconds. The minimum is twice `run_s`: the
+/// decision logic takes a time budget much smaller than the largest of the class for a repeated attempt by an impatient
+/// client.
 fn background_run_seconds(entry: &FunctionEntry, run_s: f64) -> Result<f64, ConfigError> {
-    let least = 2.0 * run_s;
-    let allowed = AllowedRange { least, most: 2.0 * MAX_RUN_S };
-    number_in_range("background_run_s", entry.background_run_s.as_ref(), least.max(3600.0), allowed)
+    let min = 2.0 * run_s;
+    let allowed = AllowedRange { min, max: 2.0 * MAX_ATTEMPT_S };
+    number_in_range("background_run_s", entry.background_run_s.as_ref(), min.max(3600.0), allowed)
 }
 
 fn release_window(is_queued: bool, is_http: bool, objectives: [Micros; 3]) -> Window {
--- a/dispatcher/src/wire/gearman/job_clients.rs
+++ b/dispatcher/src/wire/gearman/job_clients.rs
@@ -1,4 +1,4 @@
-//! The clients that wait for a released job: what the decisions pass on goes to all of them.
+//! The clients of a released job: progress, output and the final answer are sent to all of them.
 
 use super::outbox::PacketBody;
 use super::peer::Peer;
@@ -10,12 +10,12 @@
 use roselock_gearman::Kind;
 use std::sync::Arc;
 
-/// A client that waits for a job.
+/// A client that waits for the result of a job.
 #[derive(Clone)]
 pub struct WaitingClient {
-    /// Its connection.
+    /// The client's connection.
     pub peer: Arc<Peer>,
-    /// Whether it asked for WORK_EXCEPTION.
+    /// Whether the client enabled WORK_EXCEPTION packets.
     pub wants_exceptions: bool,
 }
 
@@ -23,44 +23,45 @@
 pub struct JobClients {
     /// The front.
     pub front: Arc<Gearman>,
-    /// The job.
+    /// The number of the job.
     pub job_no: JobNo,
     /// The stream of the release.
     pub stream: StreamId,
-    /// Attempts that may have run in earlier releases.
-    pub earlier_attempts: u32,
-    /// Whether a repeat of what may have run is harmless.
+    /// Number of attempts that may have run in earlier releases.
+    pub prior_attempts: u32,
+    /// Whether an attempt that may have run can be repeated without harm.
     pub is_idempotent: bool,
 }
 
-/// A job that has ended for good.
-struct FinalEnd {
+/// A job that has ended and is not queued again.
+struct FinalCompletion {
     job: EndedJob<WaitingClient>,
-    /// It was a background job, nobody waits for it, and no worker has said how it ended.
+    /// Whether this is a background job without waiting clients whose outcome no worker has reported.
     is_lost: bool,
 }
 
 impl JobClients {
-    /// Ends the release, and counts the end of the job. None if the job is queued again, or had ended before.
-    fn complete(&self, ending: Ending, attempts_run: u32) -> Option<FinalEnd> {
+    /// Ends the release, and counts the job if it has ended. Returns `None` if the job is queued again or had already
+    /// ended.
+    fn complete(&self, ending: Ending, attempts_run: u32) -> Option<FinalCompletion> {
         let now = clock::now();
-        let attempts_run = attempts_run.saturating_sub(self.earlier_attempts);
+        let attempts_run = attempts_run.saturating_sub(self.prior_attempts);
         let mut jobs = self.front.jobs.lock();
         let completion =
             jobs.backlog.complete(self.job_no, self.stream, ending, attempts_run, self.is_idempotent, now)?;
         let Completion::Final(job) = completion else { return None };
-        jobs.ends.record(ending);
-        let has_nobody = job.background && job.waiters.is_empty();
-        let ended_by_worker = match ending {
+        jobs.ended_counts.record(ending);
+        let is_unattended = job.background && job.waiters.is_empty();
+        let is_reported_by_worker = match ending {
             Ending::Served => true,
             Ending::Failed => job.failed,
             Ending::Rejected | Ending::TimedOut => false,
         };
-        let is_lost = has_nobody && !ended_by_worker;
+        let is_lost = is_unattended && !is_reported_by_worker;
         if is_lost {
-            jobs.ends.lost += 1;
+            jobs.ended_counts.lost += 1;
         }
-        Some(FinalEnd { job, is_lost })
+        Some(FinalCompletion { job, is_lost })
     }
 
     /// Sends the result to all clients.
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Calls `send` for each client, if the job is still released under this stream.
+    /// Calls `send` for each client if this stream is still the current release of the job.
     fn for_each_client(&self, jobs: &Jobs, send: impl Fn(&WaitingClient)) {
         let Some(job) = jobs.backlog.job(self.job_no) else { return };
         if job.state != State::Released(self.stream) {
@@ -87,8 +88,8 @@
 
 impl Downstream for JobClients {
     fn answer(&self, answer: Answer, attempts_run: u32) {
-        let Some(end) = self.complete(ending_of(&answer), attempts_run) else { return };
-        let job = &end.job;
+        let Some(completion) = self.complete(ending_from_answer(&answer), attempts_run) else { return };
+        let job = &completion.job;
         match answer {
             Answer::Served(result) => self.send_result(job, result),
             Answer::Rejected(retry_after) => {
@@ -101,20 +102,20 @@
             }
             Answer::TimedOut => self.front.notify_failed(job, b"no answer in time; it may have run"),
         }
-        if end.is_lost {
+        if completion.is_lost {
             let reason = if job.attempts > 0 { "it may have run" } else { "it never ran" };
             self.front.log_lost(job, reason);
         }
     }
 
-    fn running(&self, runs: bool) {
-        self.front.jobs.lock().backlog.set_running(self.job_no, self.stream, runs);
+    fn running(&self, is_running: bool) {
+        self.front.jobs.lock().backlog.set_running(self.job_no, self.stream, is_running);
     }
 
     fn progress(&self, share: f64) {
         let jobs = self.front.jobs.lock();
         let Some(job) = jobs.backlog.job(self.job_no) else { return };
-        // A Gearman worker's own numbers are relayed as they are; HTTP hosts report a share.
+        // Gearman workers report a fraction, which is relayed unchanged; HTTP hosts report a share from 0 to 1.
         let percent = ((share * 100.0).clamp(0.0, 100.0).round() as u64, 100);
         let (numerator, denominator) = if job.progress.1 > 0 { job.progress } else { percent };
         let handle = self.front.job_handle(self.job_no);
@@ -122,7 +123,7 @@
         let denominator = denominator.to_string();
         let args = [handle.as_bytes(), numerator.as_bytes(), denominator.as_bytes()];
         let status = reply(Kind::WorkStatus, &args);
-        self.for_each_client(&jobs, |client| client.peer.outbox.write_if_low(status.clone()));
+        self.for_each_client(&jobs, |client| client.peer.outbox.write_unless_congested(status.clone()));
     }
 
     fn output(&self, kind: OutputKind, bytes: &[u8]) {
@@ -131,7 +132,7 @@
             OutputKind::Data => Kind::WorkData,
             OutputKind::Warning => Kind::WorkWarning,
             OutputKind::Exception => {
-                // It is passed on with the job's end: the attempt that raised it may not be the last.
+                // Stored until the job ends, because the attempt that raised it may be followed by another.
                 jobs.backlog.set_exception(self.job_no, bytes.to_vec());
                 return;
             }
@@ -141,7 +142,7 @@
     }
 }
 
-fn ending_of(answer: &Answer) -> Ending {
+fn ending_from_answer(answer: &Answer) -> Ending {
     match answer {
         Answer::Served(_) => Ending::Served,
         Answer::Rejected(_) | Answer::Conflict => Ending::Rejected,
@@ -150,7 +151,7 @@
     }
 }
 
-/// What clients are told of a rejected job. They may retry after this time, if it is not 0.
+/// The WORK_EXCEPTION reason for a rejected job, with the time after which clients may retry unless that is 0.
 fn rejection_text(retry_after: Micros) -> String {
     if retry_after == 0 {
         return "refused; trying again is harmless".into();
--- a/dispatcher/src/wire/gearman/job_source.rs
+++ b/dispatcher/src/wire/gearman/job_source.rs
@@ -1,4 +1,4 @@
-//! The jobs that the owner of the decisions polls: each released job is a stream.
+//! The job source that the event loop polls: each released job becomes a stream.
 
 use super::Gearman;
 use super::job_clients::JobClients;
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// The queued jobs of a front.
+/// The queued jobs of a Gearman front, as a [`JobSource`].
 pub struct GearmanJobSource(
     /// The front.
     pub Arc<Gearman>,
@@ -20,19 +20,19 @@
         let mut jobs = front.jobs.lock();
         let stream = front.inbox.stream_id();
         let Some(released) = jobs.backlog.release(now, || stream) else {
-            jobs.is_owner_notified = false;
+            jobs.is_event_loop_notified = false;
             return None;
         };
         let job = jobs.backlog.job(released.no)?;
-        let registry = front.functions.load();
-        let function = &registry.all[job.function];
-        let no_client = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let client = job.waiters.first().map_or(no_client, |waiter| waiter.context.peer.address);
+        let registry = front.function_registry.load();
+        let function = &registry.functions[job.function];
+        let placeholder = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let client_address = job.waiters.first().map_or(placeholder, |waiter| waiter.context.peer.address);
         let clients = JobClients {
             front: front.clone(),
             job_no: released.no,
             stream,
-            earlier_attempts: released.attempts,
+            prior_attempts: released.attempts,
             is_idempotent: function.idempotent[released.priority],
         };
         Some(NewStream {
@@ -46,7 +46,7 @@
             hint: None,
             deadline: released.deadline,
             prior_attempts: released.attempts,
-            peer: client,
+            peer: client_address,
             payload: Arc::new(front.release_payload(&released)),
             downstream: Box::new(clients),
         })
@@ -62,7 +62,7 @@
 }
 
 impl Gearman {
-    /// The payload of a release: that of the job, with an id that no other release has.
+    /// The payload of a release: the job's payload with an ID that is unique to the release.
     fn release_payload(&self, released: &Released<Payload>) -> Payload {
         let job = &released.payload;
         let release = released.earlier_releases;
--- a/dispatcher/src/wire/gearman/job_status.rs
+++ b/dispatcher/src/wire/gearman/job_status.rs
@@ -1,4 +1,4 @@
-//! Answers to clients that ask for the status of a job.
+//! Replies to status requests for a job.
 
 use super::Gearman;
 use super::job_clients::WaitingClient;
@@ -7,7 +7,7 @@
 use roselock_backlog::Job;
 use roselock_gearman::Kind;
 
-/// The status of a job, as the arguments of its packet.
+/// The status of a job, formatted as packet arguments.
 struct StatusArguments {
     is_known: &'static str,
     is_running: &'static str,
@@ -16,7 +16,7 @@
 }
 
 impl StatusArguments {
-    fn of(job: Option<&Job<WaitingClient, Payload>>) -> StatusArguments {
+    fn from_job(job: Option<&Job<WaitingClient, Payload>>) -> StatusArguments {
         let (numerator, denominator) = job.map_or((0, 0), |job| job.progress);
         StatusArguments {
             is_known: flag(job.is_some()),
@@ -31,11 +31,11 @@
     if is_set { "1" } else { "0" }
 }
 
-/// STATUS_RES for a job handle.
+/// Builds the STATUS_RES packet for a job handle.
 pub fn by_handle(front: &Gearman, handle: &[u8]) -> Vec<u8> {
     let jobs = front.jobs.lock();
     let job = front.job_no(handle).and_then(|job_no| jobs.backlog.job(job_no));
-    let status = StatusArguments::of(job);
+    let status = StatusArguments::from_job(job);
     let args = [
         handle,
         status.is_known.as_bytes(),
@@ -46,13 +46,13 @@
     reply(Kind::StatusRes, &args)
 }
 
-/// STATUS_RES_UNIQUE for a unique id: the status of its job, and how many clients wait for that.
+/// Builds the STATUS_RES_UNIQUE packet for a unique ID, with the status of its job and the number of waiting clients.
 pub fn by_unique_id(front: &Gearman, unique: &[u8]) -> Vec<u8> {
-    let functions = front.functions.load().all.len();
+    let function_count = front.function_registry.load().functions.len();
     let jobs = front.jobs.lock();
-    let job_no = (0..functions).find_map(|function| jobs.backlog.by_unique(function, unique));
+    let job_no = (0..function_count).find_map(|function| jobs.backlog.by_unique(function, unique));
     let job = job_no.and_then(|job_no| jobs.backlog.job(job_no));
-    let status = StatusArguments::of(job);
+    let status = StatusArguments::from_job(job);
     let waiters = job.map_or(0, |job| job.waiters.len()).to_string();
     let args = [
         unique,
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -1,6 +1,6 @@
-//! The Gearman front: clients' jobs wait in the backlog and are released as streams, and workers that register become
-//! upstream hosts. It translates and decides nothing. The entry of a function says whether its jobs go to Gearman
-//! workers or to HTTP hosts.
+//! The Gearman front: submitted jobs wait in the backlog and are released as streams, and registered workers become
+//! upstream hosts. It translates the protocol and makes no scheduling decisions. The settings of a function determine
+//! whether its jobs run on Gearman workers or on HTTP hosts.
 
 mod admin;
 mod connection;
@@ -32,7 +32,7 @@
 use function::FunctionRegistry;
 pub use function::resolve_functions;
 use job_clients::WaitingClient;
-use job_endings::EndCounts;
+use job_endings::EndedJobCounts;
 pub use job_source::GearmanJobSource;
 use parking_lot::Mutex;
 use peer::Peer;
@@ -49,92 +49,92 @@
 pub use timers::run as run_timers;
 use worker_state::WorkerCounts;
 
-/// How long writing a batch of packets to a connection may take, in microseconds.
+/// Timeout for writing a batch of packets to a connection, in microseconds.
 const WRITE_TIMEOUT: Micros = 10 * SECOND;
 
-/// What the coroutines of the front and the owner of the decisions share. It is locked for short sections that never
-/// wait.
+/// State shared by the coroutines of the front and the event loop. Sections that hold the lock are short and never
+/// block.
 struct Jobs {
     backlog: Backlog<WaitingClient, Payload>,
-    /// The workers of each function, by its index.
+    /// The worker counts of each function, by function index.
     worker_counts: Vec<WorkerCounts>,
-    /// Whether the owner has been notified that there may be a job to release.
-    is_owner_notified: bool,
-    /// How jobs have ended since the start.
-    ends: EndCounts,
+    /// Whether the event loop has been notified that there may be a job to release.
+    is_event_loop_notified: bool,
+    /// The ended jobs since the process started, by outcome.
+    ended_counts: EndedJobCounts,
 }
 
-/// What all connections of the front share.
+/// State shared by all connections of the Gearman front.
 pub struct Gearman {
-    /// The way to the decisions.
+    /// The inbox of the event loop.
     pub inbox: Inbox,
     settings: ResolvedSettings,
     site: ArcSwap<Site>,
     seed: u64,
-    functions: ArcSwap<FunctionRegistry>,
-    /// The settings as the file has them: the entry for functions that are not named, and the settings of fleets.
-    file: ArcSwap<GearmanSettings>,
-    /// The fleet of the next function that gets one. Locked while a function is added, also while that waits for
-    /// capacity in the owner's queue.
-    next_fleet: may::sync::Mutex<FleetId>,
+    function_registry: ArcSwap<FunctionRegistry>,
+    /// The unresolved settings, kept for the default function entry and the fleet settings.
+    file_settings: ArcSwap<GearmanSettings>,
+    /// The ID for the next worker fleet. Locked while a function is added, including the wait for capacity in the event
+    /// loop's input queue.
+    next_fleet_id: may::sync::Mutex<FleetId>,
     http_fleet: FleetId,
     jobs: Mutex<Jobs>,
     peers: Mutex<BTreeMap<u64, Arc<Peer>>>,
-    next_peer: AtomicU64,
+    next_peer_number: AtomicU64,
     timers: Mutex<BTreeSet<Timer>>,
-    /// Job handles and request ids begin with it: each process has another.
+    /// The prefix of job handles and request IDs, different in each process.
     incarnation: u64,
     connections: Arc<ConnectionLimiter>,
     verbosity: AtomicUsize,
-    /// An administrator has requested the shutdown.
+    /// Whether an administrator has requested the shutdown.
     is_shutdown_requested: AtomicBool,
-    /// The waiting jobs have been given up, since the process is about to end.
+    /// Whether the waiting jobs have been dropped because the process is about to end.
     is_drained: AtomicBool,
 }
 
-/// What a front is made of.
+/// The parameters of a [`Gearman`] front.
 pub struct GearmanParameters {
-    /// The settings as the file has them.
+    /// The settings as read from the configuration file.
     pub file: GearmanSettings,
     /// The same settings, resolved.
     pub settings: ResolvedSettings,
-    /// The settings of the decisions.
+    /// The scheduling settings.
     pub site: Arc<Site>,
-    /// The way to the decisions.
+    /// The inbox of the event loop.
     pub inbox: Inbox,
     /// The fleet of the HTTP hosts.
     pub http_fleet: FleetId,
-    /// The fleet of the first function that Gearman workers run; the numbers from it on are those of the front.
+    /// The ID of the first worker fleet. This ID and all higher ones belong to the front.
     pub first_worker_fleet: FleetId,
-    /// The seed of the decisions.
+    /// The random seed of the decision logic.
     pub seed: u64,
-    /// What job handles and request ids begin with: another in each process.
+    /// The prefix of job handles and request IDs, different in each process.
     pub incarnation: u64,
-    /// Most connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
 }
 
 impl Gearman {
-    /// A front without connections or functions.
+    /// Creates a front without connections or functions.
     pub fn new(parameters: GearmanParameters) -> Gearman {
         let jobs = Jobs {
             backlog: Backlog::new(parameters.settings.bounds),
             worker_counts: Vec::new(),
-            is_owner_notified: false,
-            ends: EndCounts::default(),
+            is_event_loop_notified: false,
+            ended_counts: EndedJobCounts::default(),
         };
         Gearman {
             inbox: parameters.inbox,
             settings: parameters.settings,
             site: ArcSwap::new(parameters.site),
             seed: parameters.seed,
-            functions: ArcSwap::default(),
-            file: ArcSwap::from_pointee(parameters.file),
-            next_fleet: may::sync::Mutex::new(parameters.first_worker_fleet),
+            function_registry: ArcSwap::default(),
+            file_settings: ArcSwap::from_pointee(parameters.file),
+            next_fleet_id: may::sync::Mutex::new(parameters.first_worker_fleet),
             http_fleet: parameters.http_fleet,
             jobs: Mutex::new(jobs),
             peers: Mutex::default(),
-            next_peer: AtomicU64::new(1),
+            next_peer_number: AtomicU64::new(1),
             timers: Mutex::default(),
             incarnation: parameters.incarnation,
             connections: ConnectionLimiter::new(parameters.max_connections),
@@ -144,33 +144,33 @@
         }
     }
 
-    /// The functions that it has now.
-    fn functions(&self) -> Arc<FunctionRegistry> {
-        self.functions.load_full()
+    /// A snapshot of the functions.
+    fn function_registry(&self) -> Arc<FunctionRegistry> {
+        self.function_registry.load_full()
     }
 
-    /// Whether the owner is to be notified that it may release a job, and has not been yet. Called with the jobs locked;
-    /// the result goes to [`Gearman::notify_owner_if`] after that.
-    fn should_notify_owner(&self, jobs: &mut Jobs) -> bool {
-        if jobs.is_owner_notified || jobs.backlog.next_release_at().is_none() {
+    /// Whether the event loop must be notified that there may be a job to release; marks it as notified. Call it with
+    /// the jobs locked, and pass the result to [`Gearman::notify_event_loop_if`] after unlocking.
+    fn should_notify_event_loop(&self, jobs: &mut Jobs) -> bool {
+        if jobs.is_event_loop_notified || jobs.backlog.next_release_at().is_none() {
             return false;
         }
-        jobs.is_owner_notified = true;
+        jobs.is_event_loop_notified = true;
         true
     }
 
-    fn notify_owner_if(&self, should_notify: bool) {
+    fn notify_event_loop_if(&self, should_notify: bool) {
         if should_notify {
             self.inbox.post(Input::JobsAvailable);
         }
     }
 
-    /// The handle of a job, for clients.
+    /// Formats the handle by which clients refer to a job.
     fn job_handle(&self, job_no: u64) -> String {
         format!("H:roselock-{:08x}:{job_no}", self.incarnation as u32)
     }
 
-    /// The number of the job with a handle, if it is a handle of this process.
+    /// Parses a job handle. Returns `None` if this process did not issue it.
     fn job_no(&self, handle: &[u8]) -> Option<u64> {
         let text = std::str::from_utf8(handle).ok()?;
         let (incarnation, job_no) = text.strip_prefix("H:roselock-")?.split_once(':')?;
@@ -180,7 +180,7 @@
         job_no.parse().ok()
     }
 
-    /// Begins the graceful shutdown of the process, as SIGTERM does.
+    /// Starts the graceful shutdown of the process, like SIGTERM.
     fn request_shutdown(&self) {
         if !self.is_shutdown_requested.swap(true, Ordering::SeqCst) {
             tracing::info!("Gearman administrator requested a shutdown");
--- a/dispatcher/src/wire/gearman/outbox.rs
+++ b/dispatcher/src/wire/gearman/outbox.rs
@@ -1,7 +1,7 @@
-//! What is queued for sending to a connection: bounded by bytes, written by a coroutine of its own.
+//! The send queue of a connection: bounded in bytes, and drained by a writer coroutine.
 
 use super::peer::Peer;
-use super::worker_jobs::report_never_ran;
+use super::worker_jobs::report_not_started;
 use super::{Gearman, WRITE_TIMEOUT};
 use crate::core::{Payload, UpstreamId, UpstreamRequest};
 use crate::wire::http::deadline_after;
@@ -10,17 +10,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Most packets that are written together.
+/// Maximum number of packets per write.
 const MAX_BATCH: usize = 32;
 
-/// The last part of a packet, which may be shared with other receivers.
+/// The last argument of a packet, which may be shared between receivers.
 #[derive(Clone)]
 pub enum PacketBody {
-    /// Nothing.
+    /// No separate body.
     None,
-    /// A result, or a part of one.
+    /// The result of a job.
     Bytes(Arc<Vec<u8>>),
-    /// A job's data.
+    /// The data of a job.
     JobData(Arc<Payload>),
 }
 
@@ -36,16 +36,16 @@
 
 /// A packet to be written.
 pub struct OutgoingPacket {
-    /// Its first bytes.
+    /// The header and the arguments before the body.
     pub head: Vec<u8>,
-    /// The bytes after these.
+    /// The body, written after the head.
     pub body: PacketBody,
-    /// Whether it is the final answer to a job: the process does not end before it has been written.
+    /// Whether the packet is the final answer to a job. The process waits for it to be written before it ends.
     pub is_final: bool,
 }
 
 impl OutgoingPacket {
-    /// A packet that is no job's final answer.
+    /// Creates a packet that is not the final answer to a job.
     pub fn new(head: Vec<u8>) -> OutgoingPacket {
         OutgoingPacket { head, body: PacketBody::None, is_final: false }
     }
@@ -59,126 +59,131 @@
 pub enum OutboxMessage {
     /// A packet to write.
     Write(OutgoingPacket),
-    /// An attempt for the worker at this connection.
+    /// Start an attempt on the worker at this connection.
     Start {
         /// The attempt.
         request: UpstreamRequest,
         /// The index of its function.
         function: usize,
     },
-    /// An attempt is aborted.
+    /// Abort an attempt.
     Abort(UpstreamId),
     /// The reader has ended.
-    End,
+    ReaderEnded,
 }
 
 /// The sending side of a connection. Posting never waits.
 pub struct Outbox {
-    messages: Sender<OutboxMessage>,
+    sender: Sender<OutboxMessage>,
     socket: Socket,
-    /// Bytes that are queued.
-    queued: AtomicUsize,
-    /// Most bytes that may be queued.
-    capacity: usize,
-    is_overflown: AtomicBool,
+    /// Number of queued bytes.
+    queued_bytes: AtomicUsize,
+    /// Maximum number of queued bytes.
+    max_queued_bytes: usize,
+    is_overflowed: AtomicBool,
 }
 
 impl Outbox {
-    /// The outbox of a connection. At most `capacity` bytes may be queued in it.
-    pub fn new(messages: Sender<OutboxMessage>, socket: Socket, capacity: usize) -> Outbox {
-        let queued = AtomicUsize::new(0);
-        Outbox { messages, socket, queued, capacity, is_overflown: AtomicBool::new(false) }
+    /// Creates the outbox of a connection, in which at most `max_queued_bytes` may be queued.
+    pub fn new(sender: Sender<OutboxMessage>, socket: Socket, max_queued_bytes: usize) -> Outbox {
+        let queued_bytes = AtomicUsize::new(0);
+        Outbox { sender, socket, queued_bytes, max_queued_bytes, is_overflowed: AtomicBool::new(false) }
     }
 
-    /// Whether more than half of its capacity is used. The connection's own requests wait then.
-    pub fn is_high(&self) -> bool {
-        self.queued.load(Ordering::Relaxed) > self.capacity / 2 && !self.has_overflown()
+    /// Whether more than half of the capacity is used. The reader of the connection pauses meanwhile.
+    pub fn is_congested(&self) -> bool {
+        self.queued_bytes.load(Ordering::Relaxed) > self.max_queued_bytes / 2 && !self.has_overflowed()
     }
 
-    /// Whether the connection was closed because its peer does not read.
-    pub fn has_overflown(&self) -> bool {
-        self.is_overflown.load(Ordering::Relaxed)
+    /// Whether the connection was closed because its peer did not read.
+    pub fn has_overflowed(&self) -> bool {
+        self.is_overflowed.load(Ordering::Relaxed)
     }
 
-    /// Queues a packet. False where the connection has ended, or ends now since too much is queued.
+    /// Queues a packet. Returns false if the connection has ended, or is closed now because the queue is full.
     pub fn write(&self, packet: OutgoingPacket) -> bool {
         let size = packet.size();
-        let before = self.queued.fetch_add(size, Ordering::Relaxed);
-        // A single packet may be larger than the capacity: a job's result must get through.
-        if before > 0 && before + size > self.capacity {
-            self.queued.fetch_sub(size, Ordering::Relaxed);
-            self.close_overflown(before);
+        let before = self.queued_bytes.fetch_add(size, Ordering::Relaxed);
+        // An empty queue accepts a packet of any size, because the result of a job may be larger than the capacity.
+        if before > 0 && before + size > self.max_queued_bytes {
+            self.queued_bytes.fetch_sub(size, Ordering::Relaxed);
+            self.close_on_overflow(before);
             return false;
         }
-        self.messages.send(OutboxMessage::Write(packet)).is_ok()
+        self.sender.send(OutboxMessage::Write(packet)).is_ok()
     }
 
-    fn close_overflown(&self, queued: usize) {
-        if !self.is_overflown.swap(true, Ordering::SeqCst) {
+    fn close_on_overflow(&self, queued: usize) {
+        if !self.is_overflowed.swap(true, Ordering::SeqCst) {
             tracing::warn!(queued, "gearman: a connection that does not read is closed");
             self.socket.close();
         }
     }
 
-    /// Queues a packet that may be lost: it is dropped where the peer reads too slowly.
-    pub fn write_if_low(&self, head: Vec<u8>) {
-        if !self.is_high() {
+    /// Queues a packet that may be lost; drops it if the outbox is congested.
+    pub fn write_unless_congested(&self, head: Vec<u8>) {
+        if !self.is_congested() {
             self.write(OutgoingPacket::new(head));
         }
     }
 
-    /// Posts any other message to the writer. False where the connection has ended.
+    /// Posts a message other than a packet to the writer. Returns false if the connection has ended.
     pub fn post(&self, message: OutboxMessage) -> bool {
-        self.messages.send(message).is_ok()
+        self.sender.send(message).is_ok()
     }
 
-    /// Notes that a packet was written or dropped. One that wakes a worker was not counted when it was queued.
-    fn remove(&self, size: usize) {
+    /// Subtracts a written or dropped packet from the queued bytes. Saturates at 0, because packets that wake a worker
+    /// were not counted when they were queued.
+    fn subtract_queued(&self, size: usize) {
         let _ = self
-            .queued
+            .queued_bytes
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |queued| Some(queued.saturating_sub(size)));
     }
 }
 
-/// Writes what is posted to a connection. It ends after the reader, with [`OutboxMessage::End`].
-pub fn run_writer(front: &Arc<Gearman>, peer: &Arc<Peer>, socket: &Socket, posted: &Receiver<OutboxMessage>) {
-    let mut writer = Writer { front, peer, socket, posted, is_open: true, has_ended: false };
+/// Handles the messages posted to a connection until [`OutboxMessage::ReaderEnded`].
+pub fn run_writer(
+    front: &Arc<Gearman>,
+    peer: &Arc<Peer>,
+    socket: &Socket,
+    receiver: &Receiver<OutboxMessage>,
+) {
+    let mut writer = Writer { front, peer, socket, receiver, is_open: true, reader_has_ended: false };
     let mut batch = Vec::with_capacity(MAX_BATCH);
-    while !writer.has_ended {
-        if !writer.collect(&mut batch) {
+    while !writer.reader_has_ended {
+        if !writer.collect_batch(&mut batch) {
             break;
         }
         writer.write(&mut batch);
     }
-    writer.drop_posted();
+    writer.discard_pending_messages();
 }
 
 struct Writer<'a> {
     front: &'a Arc<Gearman>,
     peer: &'a Arc<Peer>,
     socket: &'a Socket,
-    posted: &'a Receiver<OutboxMessage>,
-    /// Whether writing has not failed yet.
+    receiver: &'a Receiver<OutboxMessage>,
+    /// Whether no write has failed yet.
     is_open: bool,
-    has_ended: bool,
+    reader_has_ended: bool,
 }
 
 impl Writer<'_> {
-    /// Waits for a message, and handles all that are there; their packets go into the batch. False if there will be no
-    /// further message.
-    fn collect(&mut self, batch: &mut Vec<OutgoingPacket>) -> bool {
-        let Ok(mut message) = self.posted.recv() else { return false };
+    /// Waits for a message, then handles pending ones until the batch is full. Returns false if all senders are gone.
+    fn collect_batch(&mut self, batch: &mut Vec<OutgoingPacket>) -> bool {
+        let Ok(mut message) = self.receiver.recv() else { return false };
         loop {
             batch.extend(self.handle(message));
-            if self.has_ended || batch.len() >= MAX_BATCH {
+            if self.reader_has_ended || batch.len() >= MAX_BATCH {
                 return true;
             }
-            let Ok(next) = self.posted.try_recv() else { return true };
+            let Ok(next) = self.receiver.try_recv() else { return true };
             message = next;
         }
     }
 
-    /// Handles one message. Returns the packet that is to be written, if any.
+    /// Handles one message. Returns the packet to write, if any.
     fn handle(&mut self, message: OutboxMessage) -> Option<OutgoingPacket> {
         match message {
             OutboxMessage::Write(packet) => return Some(packet),
@@ -187,7 +192,7 @@
                 return wake_up.map(OutgoingPacket::new);
             }
             OutboxMessage::Abort(id) => self.peer.abort(self.front, id),
-            OutboxMessage::End => self.has_ended = true,
+            OutboxMessage::ReaderEnded => self.reader_has_ended = true,
         }
         None
     }
@@ -203,19 +208,20 @@
             self.socket.close();
         }
         for packet in batch.drain(..) {
-            self.peer.outbox.remove(packet.size());
+            self.peer.outbox.subtract_queued(packet.size());
             if packet.is_final {
                 self.front.inbox.response_written();
             }
         }
     }
 
-    /// Drops what was posted after the end: attempts have not run, and answers have no receiver.
-    fn drop_posted(&self) {
-        while let Ok(message) = self.posted.try_recv() {
+    /// Discards the messages that remain after the reader has ended: reports their attempts as not started, and counts
+    /// final answers as written, since they have no receiver.
+    fn discard_pending_messages(&self) {
+        while let Ok(message) = self.receiver.try_recv() {
             match message {
                 OutboxMessage::Write(packet) if packet.is_final => self.front.inbox.response_written(),
-                OutboxMessage::Start { request, .. } => report_never_ran(self.front, request.id, true),
+                OutboxMessage::Start { request, .. } => report_not_started(self.front, request.id, true),
                 _ => {}
             }
         }
--- a/dispatcher/src/wire/gearman/packet_handler.rs
+++ b/dispatcher/src/wire/gearman/packet_handler.rs
@@ -1,6 +1,6 @@
-//! Which packet does what.
+//! Dispatches packets and administrative commands to their handlers.
 
-use super::connection::MAX_NAMES_BYTES;
+use super::connection::MAX_PACKET_OVERHEAD_BYTES;
 use super::peer::Peer;
 use super::replies::{error_reply, reply};
 use super::{Gearman, admin, job_status, submission};
@@ -9,28 +9,28 @@
 use roselock_gearman::{Frame, Kind, Packet};
 use std::sync::Arc;
 
-/// Longest name of a connection, in bytes.
+/// Maximum length of a client ID, in bytes. Longer ones are truncated.
 const MAX_CLIENT_ID_BYTES: usize = 128;
-/// Longest time limit of a worker for a job, in seconds.
+/// Maximum time limit that a worker may set for its jobs, in seconds.
 const MAX_TIME_LIMIT_S: u64 = 366 * 86_400;
 
-/// Handles the packets and lines of one connection, in their order.
+/// Handles the packets and command lines of one connection, in order.
 pub struct PacketHandler<'a> {
     front: &'a Arc<Gearman>,
     peer: &'a Arc<Peer>,
-    /// Whether the client asked for WORK_EXCEPTION.
+    /// Whether the client enabled WORK_EXCEPTION packets.
     wants_exceptions: bool,
 }
 
 impl<'a> PacketHandler<'a> {
-    /// For a connection that has just been accepted.
+    /// Creates the handler of a new connection.
     pub fn new(front: &'a Arc<Gearman>, peer: &'a Arc<Peer>) -> PacketHandler<'a> {
         PacketHandler { front, peer, wants_exceptions: false }
     }
 
-    /// Handles one frame, and queues its answer.
+    /// Handles one frame and queues the reply.
     pub fn handle_frame(&mut self, frame: Frame) {
-        let answer = match frame {
+        let reply = match frame {
             Frame::Packet(kind, data) if submission::is_submission(kind) => {
                 submission::submit(self.front, self.peer, kind, data, self.wants_exceptions)
             }
@@ -48,15 +48,15 @@
                 None
             }
         };
-        if let Some(answer) = answer {
-            self.peer.send(answer);
+        if let Some(reply) = reply {
+            self.peer.send(reply);
         }
     }
 
-    /// The answer to a packet that was dropped.
+    /// Handles a packet that was skipped because of its size, and returns the reply.
     fn handle_skipped(&self, kind: Kind, size: usize) -> Vec<u8> {
         let max_job_bytes = self.front.settings.max_job_bytes;
-        if submission::is_submission(kind) && size <= max_job_bytes + MAX_NAMES_BYTES {
+        if submission::is_submission(kind) && size <= max_job_bytes + MAX_PACKET_OVERHEAD_BYTES {
             let text = "the data of waiting jobs takes all memory for it; try again later";
             return error_reply("QUEUE_FULL", text);
         }
@@ -67,18 +67,18 @@
         error_reply("TOO_LARGE", &text)
     }
 
-    /// Handles an administrator's line.
+    /// Handles an administrative command.
     fn handle_line(&self, line: &[u8]) {
-        let answer = admin::answer(self.front, self.peer, &String::from_utf8_lossy(line));
-        let is_shutdown = answer.is_none();
-        let text = answer.unwrap_or_else(|| "OK\n".into());
+        let reply = admin::execute(self.front, self.peer, &String::from_utf8_lossy(line));
+        let is_shutdown = reply.is_none();
+        let text = reply.unwrap_or_else(|| "OK\n".into());
         self.peer.send(text.into_bytes());
         if is_shutdown {
             self.front.request_shutdown();
         }
     }
 
-    /// Handles a packet that submits nothing. Returns its answer.
+    /// Handles a packet that is not a submission. Returns the reply, if any.
     fn handle_packet(&mut self, packet: Packet) -> Option<Vec<u8>> {
         use Packet as P;
         let front = self.front;
@@ -92,7 +92,7 @@
                 self.set_name(name);
                 None
             }
-            // Workers are chosen one by one: there is no sharing that a worker could opt out of.
+            // Ignored: a worker is chosen for each job, so there is no distribution that it could opt out of.
             P::AllYours {} => None,
             P::CanDo { function } => peer.register_function(front, function, None),
             P::CanDoTimeout { function, seconds } => self.register_with_time_limit(function, seconds),
--- a/dispatcher/src/wire/gearman/payload.rs
+++ b/dispatcher/src/wire/gearman/payload.rs
@@ -1,5 +1,5 @@
-//! What is forwarded of a job: to a worker the function, the unique id and the reducer, to an HTTP host a `POST` to the
-//! path of the function.
+//! The payload of a job: for a worker the function name, the unique ID and the reducer, for an HTTP host a `POST` to
+//! the path of the function.
 
 use super::Gearman;
 use crate::core::Payload;
@@ -7,10 +7,10 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// The method of requests to HTTP hosts.
+/// The request method for HTTP hosts.
 const METHOD: &[u8] = b"POST";
 
-/// The parts of a job in the data of its packet.
+/// The ranges of a job's parts in the data of its packet.
 pub struct JobParts {
     function: Range<usize>,
     unique: Range<usize>,
@@ -19,7 +19,7 @@
 }
 
 impl JobParts {
-    /// The parts of a submission that was read from `data`, and of its unique id.
+    /// Locates the parts of a submission, and its unique ID, in the `data` that they borrow from.
     pub fn locate(job: &Submission, unique: &[u8], data: &[u8]) -> JobParts {
         JobParts {
             function: range_in(job.function, data),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Where a part of the data lies in that.
+/// The range of a subslice of `data`.
 fn range_in(part: &[u8], data: &[u8]) -> Range<usize> {
     if part.is_empty() {
         return 0..0;
@@ -40,12 +40,13 @@
 }
 
 impl Gearman {
-    /// The payload of a job: its packet's data, and the method and path where it goes to HTTP hosts.
-    pub(super) fn payload(&self, function: usize, mut raw: Vec<u8>, parts: JobParts) -> Payload {
-        let registry = self.functions.load();
+    /// Builds the payload of a job from the data of its packet. For a function that runs on HTTP hosts, the method and
+    /// the path are appended.
+    pub(super) fn build_payload(&self, function: usize, mut raw: Vec<u8>, parts: JobParts) -> Payload {
+        let registry = self.function_registry.load();
         let mut method = parts.function;
         let mut target = parts.unique;
-        if let Some(path) = &registry.all[function].path {
+        if let Some(path) = &registry.functions[function].path {
             let method_start = raw.len();
             let method_end = method_start + METHOD.len();
             raw.reserve_exact(METHOD.len() + path.len());
--- a/dispatcher/src/wire/gearman/peer.rs
+++ b/dispatcher/src/wire/gearman/peer.rs
@@ -1,4 +1,4 @@
-//! One connection, of a client, a worker, or both.
+//! The connection of a client, a worker, or a peer that is both.
 
 use super::outbox::{Outbox, OutgoingPacket, PacketBody};
 use super::worker_state::WorkerState;
@@ -9,26 +9,26 @@
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
 
-/// A connection.
+/// The state of a connection.
 pub struct Peer {
-    /// Its number: new for each connection.
+    /// The number of the connection, unique within the process.
     pub number: u64,
-    /// Its address.
+    /// The peer's address.
     pub address: SocketAddr,
-    /// What is queued for sending.
+    /// The send queue.
     pub outbox: Outbox,
-    /// The name that it gave itself, for administrators; empty if it gave none.
+    /// The client ID that the peer has set, shown to administrators; empty if none.
     pub name: Mutex<String>,
-    /// Its state as a worker.
+    /// The state as a worker.
     pub worker: Mutex<WorkerState>,
-    /// When the timers check it next.
+    /// When the worker state is next checked for timeouts.
     pub timer: timers::PeerTimer,
-    /// Whether it has registered a function.
+    /// Whether the peer has registered a function.
     pub is_worker: AtomicBool,
 }
 
 impl Peer {
-    /// A connection that has just been accepted.
+    /// Creates the state of a new connection.
     pub fn new(number: u64, address: SocketAddr, outbox: Outbox) -> Peer {
         Peer {
             number,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Its name as an upstream host.
+    /// The UID of the worker as an upstream host.
     pub fn uid(&self) -> String {
         format!("gearman-{}", self.number)
     }
 
-    /// Its id as an upstream host.
+    /// The ID of the worker as an upstream host.
     pub fn worker_id(&self) -> WorkerId {
         WorkerId(fnv(self.uid().as_bytes()))
     }
@@ -56,7 +56,7 @@
         self.outbox.write(OutgoingPacket::new(bytes));
     }
 
-    /// Queues the final answer to a job. The process does not end before it has been written.
+    /// Queues the final answer to a job. The process waits for it to be written before it ends.
     pub fn send_final(&self, front: &Gearman, head: Vec<u8>, body: PacketBody) {
         front.inbox.response_pending();
         if !self.outbox.write(OutgoingPacket { head, body, is_final: true }) {
--- a/dispatcher/src/wire/gearman/replies.rs
+++ b/dispatcher/src/wire/gearman/replies.rs
@@ -1,18 +1,18 @@
-//! Packets of the server.
+//! Encodes the packets that the server sends.
 
 use roselock_gearman::packet::{HEAD, encode};
 use roselock_gearman::{Kind, Magic, packet};
 
-/// Where a packet's head has the size of what follows it.
+/// The bytes of the packet header that hold the size of the arguments.
 const SIZE_FIELD: std::ops::Range<usize> = 8..HEAD;
 
-/// A packet from the server.
+/// Encodes a packet.
 pub fn reply(kind: Kind, args: &[&[u8]]) -> Vec<u8> {
     packet(Magic::Res, kind, args)
 }
 
-/// The beginning of a packet whose last argument, of so many bytes, follows separately: it is shared and not copied for
-/// each receiver. `args` are the arguments before that.
+/// Encodes the header of a packet and all arguments but the last. The last argument, of `body_size` bytes, is written
+/// separately, so that receivers can share it without a copy.
 pub fn reply_head(kind: Kind, args: &[&[u8]], body_size: usize) -> Vec<u8> {
     let mut head = Vec::new();
     let args: Vec<&[u8]> = args.iter().copied().chain([&b""[..]]).collect();
@@ -22,7 +22,7 @@
     head
 }
 
-/// An ERROR packet.
+/// Encodes an ERROR packet.
 pub fn error_reply(code: &str, text: &str) -> Vec<u8> {
     reply(Kind::Error, &[code.as_bytes(), text.as_bytes()])
 }
--- a/dispatcher/src/wire/gearman/settings.rs
+++ b/dispatcher/src/wire/gearman/settings.rs
@@ -1,54 +1,53 @@
-//! The settings of the Gearman front, as the configuration file has them.
+//! The settings of the Gearman front, as read from the configuration file.
 
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
 use toml::Spanned;
 
-/// The file, or the section, that turns the front on.
+/// The file, or the section of a file, that enables the front.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GearmanSettings {
-    /// Where clients and workers connect.
+    /// The address that clients and workers connect to.
     pub listen: SocketAddr,
-    /// The slow start of a worker that has just registered, in seconds; if absent, as the settings of the decisions
-    /// say.
+    /// The slow start of newly registered workers, in seconds; by default that of the scheduling settings.
     #[serde(default)]
     pub cold_s: Option<Spanned<f64>>,
-    /// Least time between two steps of the decisions about a function's workers, in milliseconds.
+    /// Minimum interval between scheduling ticks of a worker fleet, in milliseconds.
     #[serde(default)]
     pub tick_ms: Option<Spanned<f64>>,
-    /// Most jobs of all functions, queued or released.
+    /// Maximum number of jobs of all functions, queued or released.
     #[serde(default = "max_jobs")]
     pub max_jobs: usize,
-    /// Memory for the data of these, in MiB; if absent, a quarter of the process's.
+    /// Memory limit for the data of these jobs, in MiB; by default a quarter of the process's memory limit.
     #[serde(default)]
     pub memory_mb: Option<usize>,
-    /// Most data of one job, or of its result, in KiB.
+    /// Maximum size of the data of a job, and of its result, in KiB.
     #[serde(default)]
     pub max_job_kb: Option<Spanned<usize>>,
-    /// Most bytes that are queued for sending to one connection, in KiB.
+    /// Maximum size of the send queue of a connection, in KiB.
     #[serde(default)]
     pub outbox_kb: Option<Spanned<usize>>,
-    /// How long a worker that was woken may take to grab its job, in seconds.
+    /// Timeout for a worker to grab its reserved job after being woken, in seconds.
     #[serde(default)]
     pub grab_s: Option<Spanned<f64>>,
-    /// Whether a worker's bytes are acknowledged at once.
+    /// Whether bytes from workers are acknowledged immediately.
     #[serde(default = "enabled")]
     pub quick_ack: bool,
-    /// The time zone in which the fields of SUBMIT_JOB_SCHED are read.
+    /// The time zone of the calendar fields in SUBMIT_JOB_SCHED.
     #[serde(default)]
     pub timezone: Option<Spanned<String>>,
-    /// The addresses from which administrators may send commands that change something.
+    /// The IP addresses from which administrators may send privileged commands.
     #[serde(default)]
     pub admins: Vec<IpAddr>,
-    /// Most functions.
+    /// Maximum number of functions.
     #[serde(default = "max_functions")]
     pub max_functions: usize,
-    /// The entry for functions that are not named: they are added when they are first used. If absent, such functions
-    /// are unknown.
+    /// The settings for functions that are not named, which are added on first use. If absent, such functions are
+    /// unknown.
     #[serde(default)]
     pub default: Option<FunctionEntry>,
-    /// The functions.
+    /// The named functions.
     #[serde(default)]
     pub function: Vec<FunctionEntry>,
 }
@@ -61,42 +60,42 @@
     256
 }
 
-/// A function, as the file has it.
+/// The settings of a function, as read from the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionEntry {
-    /// Its name.
+    /// The name of the function.
     #[serde(default)]
     pub name: Option<Spanned<String>>,
-    /// The class of its jobs.
+    /// The class of jobs of normal priority, and the default for the other priorities.
     pub class: Spanned<String>,
-    /// The class of jobs of high priority, where it differs.
+    /// The class of jobs of high priority, if it differs.
     #[serde(default)]
     pub class_high: Option<Spanned<String>>,
-    /// The class of jobs of low priority, where it differs.
+    /// The class of jobs of low priority, if it differs.
     #[serde(default)]
     pub class_low: Option<Spanned<String>>,
-    /// The tenant of its jobs.
+    /// The tenant of the jobs.
     #[serde(default)]
     pub tenant: Option<Spanned<String>>,
-    /// How long one attempt of a job may take, in seconds: with a queue from its release on, without one from its
-    /// arrival.
+    /// Maximum duration of an attempt, in seconds, measured from the job's release, or from its arrival if it is not
+    /// queued.
     pub deadline_s: Spanned<f64>,
-    /// `gearman` for workers that register it, or a path such as `/api/pay` at the HTTP hosts.
+    /// `gearman` for workers that register the function, or a path such as `/api/pay` at the HTTP hosts.
     pub target: Spanned<String>,
-    /// Whether foreground jobs wait for a worker; otherwise the decisions admit or reject them at once.
+    /// Whether foreground jobs wait for a worker; otherwise the decision logic admits or rejects them immediately.
     #[serde(default = "enabled")]
     pub queue: bool,
-    /// Most queued jobs: of each priority, or of high, normal and low.
+    /// Maximum number of queued jobs: one limit per priority, or separate ones for high, normal and low.
     #[serde(default)]
     pub max_queue: Option<MaxQueue>,
-    /// How long a foreground job waits for a worker, in seconds.
+    /// Maximum wait of a foreground job for a worker, in seconds.
     #[serde(default)]
     pub wait_s: Option<Spanned<f64>>,
-    /// How long a background job waits for a worker, in seconds.
+    /// Maximum wait of a background job for a worker, in seconds.
     #[serde(default)]
     pub background_s: Option<Spanned<f64>>,
-    /// How long one attempt of a background job may take, in seconds.
+    /// Maximum duration of an attempt of a background job, in seconds.
     #[serde(default)]
     pub background_run_s: Option<Spanned<f64>>,
 }
@@ -105,22 +104,22 @@
     true
 }
 
-/// One bound, or one for each priority.
+/// Queue limits: one for all priorities, or one for each.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum MaxQueue {
-    /// The same for each.
+    /// The same limit for each priority.
     All(usize),
-    /// High, normal, low.
+    /// The limits for high, normal and low.
     Each([usize; 3]),
 }
 
 impl MaxQueue {
-    /// The bounds by priority: high, normal, low.
+    /// The limits by priority: high, normal, low.
     pub fn by_priority(self) -> [usize; 3] {
         match self {
-            MaxQueue::All(bound) => [bound; 3],
-            MaxQueue::Each(bounds) => bounds,
+            MaxQueue::All(limit) => [limit; 3],
+            MaxQueue::Each(limits) => limits,
         }
     }
 }
--- a/dispatcher/src/wire/gearman/worker_registration.rs
+++ b/dispatcher/src/wire/gearman/worker_registration.rs
@@ -1,10 +1,10 @@
-//! Workers register functions: such a connection is an upstream host in the fleet of each of its functions.
+//! Registration of functions by workers. A worker is an upstream host in the fleet of each of its functions.
 
 use super::Gearman;
 use super::outbox::OutboxMessage;
 use super::peer::Peer;
 use super::replies::{error_reply, reply};
-use super::worker_jobs::report_never_ran;
+use super::worker_jobs::report_not_started;
 use crate::core::{
     ConnectionState, Input, ListedHost, UpstreamConnection, UpstreamEvent, UpstreamId, UpstreamRequest, clock,
 };
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The connection of the decisions to a worker, for one function.
-struct WorkerLink {
+/// The upstream connection to a worker, for one function.
+struct WorkerConnection {
     peer: Arc<Peer>,
     function: usize,
 }
 
-impl UpstreamConnection for WorkerLink {
+impl UpstreamConnection for WorkerConnection {
     fn start(&self, request: UpstreamRequest) -> bool {
         self.peer.outbox.post(OutboxMessage::Start { request, function: self.function })
     }
@@ -34,8 +34,8 @@
 }
 
 impl Peer {
-    /// Lists it as an upstream host of a function's fleet, in this state.
-    pub fn list(self: &Arc<Self>, front: &Gearman, function: usize, state: EndpointState) {
+    /// Publishes the worker as an upstream host in the fleet of a function, with the given state.
+    pub fn publish_endpoint(self: &Arc<Self>, front: &Gearman, function: usize, state: EndpointState) {
         let endpoint = Endpoint {
             worker: self.worker_id(),
             state,
@@ -47,92 +47,94 @@
         };
         let connection: Option<Arc<dyn UpstreamConnection>> = match state {
             EndpointState::Gone => None,
-            _ => Some(Arc::new(WorkerLink { peer: self.clone(), function })),
+            _ => Some(Arc::new(WorkerConnection { peer: self.clone(), function })),
         };
         let host = ListedHost { uid: self.uid(), address: None, endpoint, connection };
-        let fleet = front.functions.load().all[function].fleet;
+        let fleet = front.function_registry.load().functions[function].fleet;
         front.inbox.post(Input::Hosts { fleet, mode: ListMode::Changes, hosts: vec![host] });
     }
 
-    /// CAN_DO or CAN_DO_TIMEOUT: registers a function. The first time it is listed as a host that has just started.
+    /// Handles CAN_DO and CAN_DO_TIMEOUT: registers a function. The worker's first registration counts as its start time.
     pub fn register_function(
         self: &Arc<Self>,
         front: &Gearman,
         name: &[u8],
         time_limit: Option<Micros>,
     ) -> Option<Vec<u8>> {
-        let known = front.function_for(name);
-        let runs_on_workers = |function: &usize| front.functions.load().all[*function].runs_on_workers();
-        let Some(function) = known.filter(runs_on_workers) else {
+        let index = front.find_or_add_function(name);
+        let runs_on_workers =
+            |function: &usize| front.function_registry.load().functions[*function].runs_on_workers();
+        let Some(function) = index.filter(runs_on_workers) else {
             return Some(error_reply("UNKNOWN_FUNCTION", "no worker here runs this function"));
         };
         self.is_worker.store(true, Ordering::Relaxed);
-        self.change(front, |worker| worker.can_do(function, time_limit, clock::now()));
-        self.list(front, function, EndpointState::Ready);
+        self.update(front, |worker| worker.can_do(function, time_limit, clock::now()));
+        self.publish_endpoint(front, function, EndpointState::Ready);
         let is_engaged = self.worker.lock().is_engaged();
         front.inbox.post(Input::Capacity {
-            fleet: front.functions.load().all[function].fleet,
+            fleet: front.function_registry.load().functions[function].fleet,
             worker: self.worker_id(),
             free_slots: if is_engaged { 0.0 } else { 1.0 },
         });
         None
     }
 
-    /// CANT_DO: it is draining for this function from now on.
+    /// Handles CANT_DO: the worker is draining in the fleet of this function from now on.
     pub fn unregister_function(self: &Arc<Self>, front: &Gearman, name: &[u8]) -> Option<Vec<u8>> {
-        let function = front.functions.load().find(name)?;
+        let function = front.function_registry.load().find(name)?;
         self.unregister(front, function);
         None
     }
 
-    /// RESET_ABILITIES: it is draining for all of its functions.
+    /// Handles RESET_ABILITIES: the worker is draining in the fleets of all its functions.
     pub fn unregister_all(self: &Arc<Self>, front: &Gearman) -> Option<Vec<u8>> {
-        for function in self.able() {
+        for function in self.registered_functions() {
             self.unregister(front, function);
         }
         None
     }
 
     fn unregister(self: &Arc<Self>, front: &Gearman, function: usize) {
-        let Some(reserved) = self.change(front, |worker| worker.cant_do(function)) else { return };
-        self.list(front, function, EndpointState::Draining);
-        // A job that was reserved for it and not grabbed has not run.
+        let Some(reserved) = self.update(front, |worker| worker.cant_do(function)) else { return };
+        self.publish_endpoint(front, function, EndpointState::Draining);
+        // A reserved job that was not grabbed has not run.
         if let Some(job) = reserved {
-            report_never_ran(front, job.id, false);
+            report_not_started(front, job.id, false);
         }
     }
 
-    /// PRE_SLEEP: it sleeps until it is woken; that is at once if a job was reserved for it meanwhile.
+    /// Handles PRE_SLEEP: the worker sleeps until it is woken. Returns the packet that wakes it immediately if a job has
+    /// been reserved for it.
     pub fn pre_sleep(self: &Arc<Self>, front: &Gearman) -> Option<Vec<u8>> {
-        self.relist_if_unresponsive(front);
-        let must_wake = self.change(front, |worker| worker.pre_sleep());
+        self.republish_if_unresponsive(front);
+        let must_wake = self.update(front, |worker| worker.pre_sleep());
         must_wake.then(|| reply(Kind::Noop, &[]))
     }
 
-    /// A worker that was unresponsive has sent something: it is listed again.
-    pub fn relist_if_unresponsive(self: &Arc<Self>, front: &Gearman) {
+    /// Publishes a worker as ready again if it was unresponsive and has now sent a packet.
+    pub fn republish_if_unresponsive(self: &Arc<Self>, front: &Gearman) {
         let functions: Vec<usize> = {
             let worker = self.worker.lock();
             if worker.is_unresponsive() { worker.able().collect() } else { Vec::new() }
         };
         for function in functions {
-            self.list(front, function, EndpointState::Ready);
+            self.publish_endpoint(front, function, EndpointState::Ready);
         }
     }
 
-    /// The connection has ended: the job that it had may have run, one that was only reserved for it has not.
+    /// Handles the end of a worker's connection. Its running job may have run; a job that was only reserved has not.
     pub fn disconnect_worker(self: &Arc<Self>, front: &Gearman) {
-        let had = self.change(front, |worker| worker.disconnect());
-        if let Some(job) = had.reserved {
-            report_never_ran(front, job.id, true);
+        let disconnected = self.update(front, |worker| worker.disconnect());
+        if let Some(job) = disconnected.reserved {
+            report_not_started(front, job.id, true);
         }
-        if let Some(job) = had.running {
+        if let Some(job) = disconnected.running {
             let report = LoadReport::default();
             let reset = UpstreamEvent::Ended { outcome: Outcome::Reset, report, body: Vec::new() };
-            front.post_upstream(job.id, reset, ConnectionState::Closed);
+            front.post_upstream_event(job.id, reset, ConnectionState::Closed);
         }
-        for function in had.functions {
-            self.list(front, function, EndpointState::Gone);
+        for function in disconnected.functions {
+            self.publish_endpoint(front, function, EndpointState::Gone);
         }
     }
 }
--- a/dispatcher/src/wire/gearman/worker_reports.rs
+++ b/dispatcher/src/wire/gearman/worker_reports.rs
@@ -1,9 +1,9 @@
-//! What a worker reports of its job, and what its timer does.
+//! Handles the reports of workers about their jobs, and the timeouts of workers.
 
 use super::Gearman;
 use super::peer::Peer;
 use super::replies::{error_reply, reply};
-use super::worker_jobs::report_never_ran;
+use super::worker_jobs::report_not_started;
 use super::worker_state::ReservedJob;
 use crate::core::{ConnectionState, OutputKind, UpstreamEvent, UpstreamId, clock};
 use roselock::{EndpointState, LoadReport, Micros, Outcome};
@@ -12,33 +12,34 @@
 use roselock_gearman::{Kind, Packet};
 use std::sync::Arc;
 
-/// The load report of a worker at the end of an attempt: while that ran, it had no capacity for another.
-pub fn full_report() -> LoadReport {
+/// The load report of a worker at the end of an attempt: the worker had no capacity for other jobs during the attempt.
+pub fn no_capacity_report() -> LoadReport {
     LoadReport { free_slots: Some(0.0), ..LoadReport::default() }
 }
 
 /// Reports an attempt that was aborted after its worker had grabbed it: it may have run.
-pub fn report_late(front: &Gearman, id: UpstreamId) {
-    let event = UpstreamEvent::Ended { outcome: Outcome::Timeout, report: full_report(), body: Vec::new() };
-    front.post_upstream(id, event, ConnectionState::Free);
+pub fn report_timeout(front: &Gearman, id: UpstreamId) {
+    let event =
+        UpstreamEvent::Ended { outcome: Outcome::Timeout, report: no_capacity_report(), body: Vec::new() };
+    front.post_upstream_event(id, event, ConnectionState::Free);
 }
 
 impl Peer {
-    /// The attempt that it runs under a handle, if there is one.
+    /// The attempt that the worker runs under a handle.
     fn running_attempt(&self, handle: &[u8]) -> Option<UpstreamId> {
         self.worker.lock().running(handle).map(|job| job.id)
     }
 
-    /// The number of the job that it runs under a handle.
+    /// The number of the job that the worker runs under a handle.
     fn running_job_no(&self, handle: &[u8]) -> Option<u64> {
         self.worker.lock().running(handle).and_then(ReservedJob::job_no)
     }
 
-    /// Passes on what precedes the result: WORK_STATUS, WORK_DATA and WORK_WARNING.
+    /// Handles WORK_STATUS, WORK_DATA and WORK_WARNING: relays progress and output that precede the result.
     pub fn relay_output(&self, front: &Gearman, packet: &Packet) -> Option<Vec<u8>> {
         let (handle, event) = match *packet {
             Packet::WorkStatus { handle, numerator, denominator } => {
-                (handle, self.progress(front, handle, number(numerator)?, number(denominator)?)?)
+                (handle, self.record_progress(front, handle, number(numerator)?, number(denominator)?)?)
             }
             Packet::WorkData { handle, data } => {
                 (handle, UpstreamEvent::Output { kind: OutputKind::Data, bytes: data.to_vec() })
@@ -49,12 +50,12 @@
             _ => return None,
         };
         let id = self.running_attempt(handle)?;
-        front.post_upstream(id, event, ConnectionState::Busy);
+        front.post_upstream_event(id, event, ConnectionState::Busy);
         None
     }
 
-    /// Notes the progress of the job under a handle; none if it does not run that.
-    fn progress(
+    /// Records the progress of the job under a handle. Returns `None` if the worker does not run the job.
+    fn record_progress(
         &self,
         front: &Gearman,
         handle: &[u8],
@@ -67,16 +68,17 @@
         Some(UpstreamEvent::Progress(share.clamp(0.0, 1.0)))
     }
 
-    /// WORK_EXCEPTION: notes why its job will fail. The job ends with the failure that follows.
+    /// Handles WORK_EXCEPTION: relays the reason why the job fails. The job ends with the WORK_FAIL that follows.
     pub fn relay_exception(&self, front: &Gearman, handle: &[u8], reason: &[u8]) -> Option<Vec<u8>> {
         let id = self.running_attempt(handle)?;
         post_exception(front, id, reason.to_vec());
         None
     }
 
-    /// WORK_COMPLETE with a result, or WORK_FAIL without one: ends its job. Reports about other attempts have no effect.
+    /// Handles WORK_COMPLETE (with a result) and WORK_FAIL (without): ends the running attempt. Reports about other
+    /// attempts have no effect.
     pub fn finish(&self, front: &Gearman, handle: &[u8], result: Option<&[u8]>) -> Option<Vec<u8>> {
-        let job = match self.change(front, |worker| worker.finish(handle)) {
+        let job = match self.update(front, |worker| worker.finish(handle)) {
             Finish::Running(job) => job,
             Finish::Abandoned => return None,
             Finish::Unknown => {
@@ -89,35 +91,36 @@
             Some(data) => (Outcome::Ok, data.to_vec()),
             None => (Outcome::Error, Vec::new()),
         };
-        let event = UpstreamEvent::Ended { outcome, report: full_report(), body };
-        front.post_upstream(job.id, event, ConnectionState::Free);
+        let event = UpstreamEvent::Ended { outcome, report: no_capacity_report(), body };
+        front.post_upstream_event(job.id, event, ConnectionState::Free);
         None
     }
 
-    /// Its result is too large: the job fails, and it is free for another.
+    /// Fails the running job because its result is too large. The worker is then free for another job.
     pub fn fail_with_too_large_result(&self, front: &Gearman) {
-        let Some(job) = self.change(front, |worker| worker.take_running()) else { return };
+        let Some(job) = self.update(front, |worker| worker.take_running()) else { return };
         post_exception(front, job.id, b"the result is too large".to_vec());
-        let event = UpstreamEvent::Ended { outcome: Outcome::Error, report: full_report(), body: Vec::new() };
-        front.post_upstream(job.id, event, ConnectionState::Free);
+        let event =
+            UpstreamEvent::Ended { outcome: Outcome::Error, report: no_capacity_report(), body: Vec::new() };
+        front.post_upstream_event(job.id, event, ConnectionState::Free);
     }
 
-    /// Its timer has expired: it has not grabbed the job that was reserved for it, has not ended the one that it has, or
-    /// there is still no job for it.
+    /// Handles a timeout of the worker: a reserved job was not grabbed, a running job has exceeded its time limit, or no
+    /// job was found for a delayed grab packet.
     pub fn expire(self: &Arc<Self>, front: &Gearman, now: Micros) {
-        match self.change(front, |worker| worker.expire(now)) {
+        match self.update(front, |worker| worker.expire(now)) {
             None => {}
             Some(Expiry::NoJob) => self.send(reply(Kind::NoJob, &[])),
             Some(Expiry::NotGrabbed(job)) => {
                 tracing::warn!(worker = self.uid(), "gearman: a worker was woken and did not come");
-                for function in self.able() {
-                    self.list(front, function, EndpointState::Draining);
+                for function in self.registered_functions() {
+                    self.publish_endpoint(front, function, EndpointState::Draining);
                 }
-                report_never_ran(front, job.id, false);
+                report_not_started(front, job.id, false);
             }
             Some(Expiry::NotFinished(job)) => {
-                tracing::warn!(worker = self.uid(), "Gearman worker exceeds its own time limit");
-                report_late(front, job.id);
+                tracing::warn!(worker = self.uid(), "Gearman worker exceeded its own time limit");
+                report_timeout(front, job.id);
             }
         }
     }
@@ -125,11 +128,11 @@
 
 fn post_exception(front: &Gearman, id: UpstreamId, reason: Vec<u8>) {
     let event = UpstreamEvent::Output { kind: OutputKind::Exception, bytes: reason };
-    front.post_upstream(id, event, ConnectionState::Busy);
+    front.post_upstream_event(id, event, ConnectionState::Busy);
 }
 
 impl Gearman {
-    /// Notes that a worker has ended a job, and whether it failed.
+    /// Records the run time of a job that a worker has ended, and whether the job failed.
     fn record_run(&self, job: &ReservedJob, has_result: bool) {
         let mut jobs = self.jobs.lock();
         jobs.backlog.record_run(job.function, clock::now() - job.grabbed_at);
