--- a/crates/backlog/src/completion.rs
+++ b/crates/backlog/src/completion.rs
@@ -1,14 +1,16 @@
-//! How released jobs are queued again, and how jobs end: completed, cancelled, without clients, or drained.
+//! The end of a release, which requeues or completes the job, and the other ways in which jobs end: cancellation,
+//! disconnected clients, and drain.
 
 use crate::job::{Cancellation, Completion, EndedJob, Ending, Job, State};
 use crate::release::QueuePosition;
-use crate::{BACKOFF, Backlog, ClientNo, JobNo, Micros};
+use crate::{BACKOFF_RANGE_US, Backlog, ClientNo, JobNo, Micros};
 
 impl<W, P> Backlog<W, P> {
-    /// The decisions have ended a released job. Returns none if it was cancelled, or its clients disconnected, meanwhile.
+    /// Handles the decision module's result for a released job. Returns `None` if the job has been cancelled, or its
+    /// clients have disconnected, in the meantime.
     ///
-    /// `attempts_run` attempts of this release may have run; `is_repeatable` says whether a repeat of what may have run is
-    /// harmless.
+    /// `attempts_run` is the number of attempts of this release that may have run; `is_repeatable` says whether it is
+    /// safe to run the job again after them.
     pub fn complete(
         &mut self,
         no: JobNo,
@@ -30,20 +32,20 @@
         let may_requeue = may_wait && may_repeat && now < job.wait_deadline;
         let is_requeued = match ending {
             Ending::Served => false,
-            // The worker itself has reported the failure, unless no worker ever ran the job.
+            // If any attempt has run, the worker itself has reported the failure, which is final.
             Ending::Failed => may_requeue && job.attempts == 0,
             Ending::Rejected | Ending::TimedOut => may_requeue,
         };
         if !is_requeued {
-            if queues.has_queued() {
-                // There may be capacity for the next job now.
+            if queues.has_queued_jobs() {
+                // The end of this job may have freed capacity for the next one.
                 let from = queues.backoff_until;
                 self.mark_ready(function, from);
             }
             return self.remove(no).map(Completion::Final);
         }
         if ending != Ending::TimedOut || attempts_run == 0 {
-            queues.backoff = (queues.backoff * 2).clamp(BACKOFF[0], BACKOFF[1]);
+            queues.backoff = (queues.backoff * 2).clamp(BACKOFF_RANGE_US[0], BACKOFF_RANGE_US[1]);
             queues.backoff_until = now + queues.backoff;
             self.ready_functions.insert(function, queues.backoff_until);
         }
@@ -52,7 +54,7 @@
         Some(Completion::Requeued)
     }
 
-    /// Notes that a worker has begun to run a released job, or has handed it back.
+    /// Records that a worker has started to run a released job (`runs`), or has returned the job.
     pub fn set_running(&mut self, no: JobNo, stream: u32, runs: bool) {
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.state == State::Released(stream)) else { return };
         let queues = &mut self.functions[job.function];
@@ -65,34 +67,34 @@
         job.running = runs;
     }
 
-    /// Notes the progress of a job.
+    /// Records the progress of a job.
     pub fn set_progress(&mut self, no: JobNo, numerator: u64, denominator: u64) {
         if let Some(job) = self.jobs.get_mut(&no) {
             job.progress = (numerator, denominator);
         }
     }
 
-    /// Notes the reason that a worker gives for a job's failure.
+    /// Records the reason that a worker gives for a job's failure.
     pub fn set_exception(&mut self, no: JobNo, reason: Vec<u8>) {
         if let Some(job) = self.jobs.get_mut(&no) {
             job.exception = Some(reason);
         }
     }
 
-    /// Notes that a worker reports that a job has failed.
+    /// Records that a worker has reported the failure of a job.
     pub fn set_failed(&mut self, no: JobNo) {
         if let Some(job) = self.jobs.get_mut(&no) {
             job.failed = true;
         }
     }
 
-    /// Notes the duration of a run: its moving average decides how many jobs are released ahead.
+    /// Records the duration of a run. The release window is computed from the moving average of the run time.
     pub fn record_run(&mut self, function: usize, duration: Micros) {
         self.functions[function].record_run(duration);
     }
 
-    /// A client has disconnected: drops its foreground jobs for which no other client waits. Returns the streams of those
-    /// that were released.
+    /// Removes a disconnected client, and the foreground jobs for which no other client waits. Returns the streams of
+    /// those removed jobs that were released.
     pub fn disconnect_client(&mut self, client: ClientNo) -> Vec<u32> {
         let mut streams = Vec::new();
         for no in self.by_client.remove(&client).unwrap_or_default() {
@@ -110,7 +112,7 @@
         streams
     }
 
-    /// Cancels a job, unless a worker runs it or may have run it.
+    /// Cancels a job, unless a worker is running it or may have run it.
     pub fn cancel(&mut self, no: JobNo) -> Cancellation<W> {
         let Some(job) = self.jobs.get(&no) else { return Cancellation::Unknown };
         if job.running || job.attempts > 0 {
@@ -121,7 +123,7 @@
         self.remove(no).map_or(Cancellation::Unknown, |ended| Cancellation::Cancelled(ended, stream))
     }
 
-    /// Ends all jobs that are not released, in the order of their numbers.
+    /// Ends all queued and scheduled jobs, in the order of their numbers; released jobs stay.
     pub fn drain(&mut self) -> Vec<EndedJob<W>> {
         let is_waiting = |job: &Job<W, P>| !matches!(job.state, State::Released(_));
         let waiting = self.jobs.iter().filter(|(_, job)| is_waiting(job));
@@ -163,7 +165,7 @@
         })
     }
 
-    /// Takes a job that is about to be removed out of the counts of its state.
+    /// Subtracts a job from the counts and timers of its state, before the job is removed.
     pub(crate) fn leave_state(&mut self, no: JobNo) {
         let Some(job) = self.jobs.get(&no) else { return };
         let queues = &mut self.functions[job.function];
@@ -176,7 +178,7 @@
             State::Released(_) => {
                 queues.released -= 1;
                 queues.running -= usize::from(job.running);
-                if queues.has_queued() {
+                if queues.has_queued_jobs() {
                     let function = job.function;
                     self.mark_ready(function, 0);
                 }
--- a/crates/backlog/src/function.rs
+++ b/crates/backlog/src/function.rs
@@ -1,4 +1,4 @@
-//! One function's queues, and how many of its jobs are released at a time.
+//! The queues of one function, and its release window: how many of its jobs are released at a time.
 
 use crate::Micros;
 use crate::job::QueueEntry;
@@ -9,60 +9,61 @@
 pub enum Window {
     /// As many as its workers can take within the latency objective.
     Workers {
-        /// The latency objective of the function's class, in microseconds.
+        /// Latency objective of the function's class, in microseconds.
         latency_objective: Micros,
     },
-    /// This number.
+    /// A fixed number of jobs.
     Fixed(usize),
-    /// All.
+    /// All jobs.
     Unlimited,
 }
 
-/// A function's settings.
+/// The settings of a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FunctionSettings {
-    /// Whether foreground jobs wait, too; otherwise a rejection ends them.
+    /// Whether foreground jobs wait for a worker like background jobs; otherwise a rejection ends them.
     pub queued: bool,
-    /// Most queued and scheduled jobs, by priority.
+    /// Maximum number of queued and scheduled jobs, by priority.
     pub max_queue: [usize; 3],
-    /// How long a foreground job waits for a worker, in microseconds.
+    /// Maximum time for which a foreground job waits for a worker, in microseconds.
     pub max_wait: Micros,
-    /// How long a background job waits for a worker, from its submission or its scheduled time, in microseconds.
+    /// Maximum time for which a background job waits for a worker, from its submission or its scheduled time on, in
+    /// microseconds.
     pub max_wait_background: Micros,
-    /// How long one release of a job may take, of a foreground and of a background job, in microseconds.
+    /// Maximum duration of one release, of a foreground job and of a background job, in microseconds.
     pub run_timeout: [Micros; 2],
-    /// Most attempts that may have run.
+    /// Maximum number of attempts that may have run; a job that has reached it is not queued again.
     pub max_attempts: u32,
     /// How many of its jobs are released at a time.
     pub window: Window,
 }
 
 impl FunctionSettings {
-    /// How long a job waits for a worker, in microseconds.
+    /// Maximum time for which a job waits for a worker, in microseconds.
     pub(crate) fn max_wait(&self, is_background: bool) -> Micros {
         if is_background { self.max_wait_background } else { self.max_wait }
     }
 }
 
-/// The counts of a function.
+/// The job and worker counts of a function.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Queued jobs by priority, without scheduled ones.
+    /// Queued jobs by priority, excluding scheduled ones.
     pub queued: [usize; 3],
     /// Scheduled jobs.
     pub scheduled: usize,
     /// Released jobs.
     pub released: usize,
-    /// Of those, jobs that a worker runs.
+    /// Released jobs that a worker is running.
     pub running: usize,
     /// Workers that have registered this function.
     pub able: usize,
-    /// Whether it accepts no further jobs.
+    /// Whether the function accepts no further jobs.
     pub closed: bool,
 }
 
 impl Counts {
-    /// All of its jobs.
+    /// Number of all jobs of the function.
     pub fn jobs(&self) -> usize {
         self.queued.iter().sum::<usize>() + self.scheduled + self.released
     }
@@ -72,36 +73,37 @@
     }
 }
 
-/// One function's settings, queues and workers.
+/// The settings, queues and worker counts of one function.
 pub(crate) struct FunctionQueues {
     pub settings: FunctionSettings,
-    /// Queue entries by priority, stale ones included.
+    /// Queue entries by priority, including stale ones.
     pub entries: [VecDeque<QueueEntry>; 3],
     pub queued: [usize; 3],
     pub scheduled: [usize; 3],
     pub released: usize,
     pub running: usize,
     /// Workers that have registered this function.
-    pub able: usize,
-    /// Those of them that are free.
-    pub free: usize,
+    pub registered_workers: usize,
+    /// Registered workers that are free.
+    pub free_workers: usize,
     /// Workers that have a job of this function.
-    pub engaged: usize,
+    pub busy_workers: usize,
     pub closed: bool,
-    /// The length of the backoff after the last rejection; 0 without one.
+    /// Length of the backoff after the last rejection; 0 without a backoff.
     pub backoff: Micros,
-    /// Until then nothing is released.
+    /// No job is released before this time.
     pub backoff_until: Micros,
-    /// Releases so far, for fairness among functions; raised to the virtual time after an absence.
-    pub service: u64,
-    /// Moving average of the duration of a run, in microseconds; 0 before the first.
-    mean_run: f64,
+    /// Start tag of the next release, as in start-time fair queuing: one more for each release, and raised to the virtual
+    /// time when the function becomes ready again.
+    pub start_tag: u64,
+    /// Moving average of the duration of a run, in microseconds; 0 before the first run.
+    mean_run_time: f64,
 }
 
-/// Queue entries up to which stale ones are left.
-const MIN_SWEEP: usize = 64;
-/// Weight of a new run in the moving average.
-const MEAN_WEIGHT: f64 = 0.1;
+/// Number of queue entries up to which stale entries are not removed.
+const MIN_ENTRIES_TO_COMPACT: usize = 64;
+/// Weight of a new run in the moving average of the run time.
+const RUN_TIME_EMA_WEIGHT: f64 = 0.1;
 
 impl FunctionQueues {
     pub fn new(settings: FunctionSettings) -> FunctionQueues {
@@ -112,49 +114,53 @@
             scheduled: [0; 3],
             released: 0,
             running: 0,
-            able: 0,
-            free: 0,
-            engaged: 0,
+            registered_workers: 0,
+            free_workers: 0,
+            busy_workers: 0,
             closed: false,
             backoff: 0,
             backoff_until: 0,
-            service: 0,
-            mean_run: 0.0,
+            start_tag: 0,
+            mean_run_time: 0.0,
         }
     }
 
-    /// Jobs of a priority that count towards its bound.
-    pub fn waiting(&self, priority: usize) -> usize {
+    /// Number of jobs of a priority that count towards its queue limit.
+    pub fn waiting_jobs(&self, priority: usize) -> usize {
         self.queued[priority] + self.scheduled[priority]
     }
 
-    /// Adds a run of this duration to the average.
+    /// Adds the duration of a run to the moving average.
     pub fn record_run(&mut self, duration: Micros) {
         let duration = duration.max(1) as f64;
-        if self.mean_run == 0.0 {
-            self.mean_run = duration;
+        if self.mean_run_time == 0.0 {
+            self.mean_run_time = duration;
         } else {
-            self.mean_run += MEAN_WEIGHT * (duration - self.mean_run);
+            self.mean_run_time += RUN_TIME_EMA_WEIGHT * (duration - self.mean_run_time);
         }
     }
 
-    /// Most jobs that are released at a time: one for each worker that is free or has a job, and as many more as the
-    /// busy ones will be free for within half of the latency objective, at most one more each. The other half is for the
-    /// run.
-    pub fn window(&self) -> usize {
+    /// Maximum number of jobs that are released at a time: one for each free or busy worker, plus the jobs that the busy
+    /// workers are expected to start within half of the latency objective, at most one each. The other half is left
+    /// for the run.
+    pub fn release_window(&self) -> usize {
         match self.settings.window {
             Window::Unlimited => usize::MAX,
             Window::Fixed(jobs) => jobs,
             Window::Workers { latency_objective } => {
-                let ahead = self.jobs_ahead(latency_objective);
-                self.free + self.engaged + (self.engaged as f64 * ahead) as usize
+                let ahead = self.prefetch_factor(latency_objective);
+                self.free_workers + self.busy_workers + (self.busy_workers as f64 * ahead) as usize
             }
         }
     }
 
-    /// Jobs that a busy worker can take next within half of the latency objective, from 0 to 1.
-    fn jobs_ahead(&self, latency_objective: Micros) -> f64 {
-        if self.mean_run > 0.0 { (latency_objective as f64 / 2.0 / self.mean_run).min(1.0) } else { 0.0 }
+    /// Number of further jobs that a busy worker can start within half of the latency objective, from 0 to 1.
+    fn prefetch_factor(&self, latency_objective: Micros) -> f64 {
+        if self.mean_run_time > 0.0 {
+            (latency_objective as f64 / 2.0 / self.mean_run_time).min(1.0)
+        } else {
+            0.0
+        }
     }
 
     /// Ends the backoff.
@@ -163,8 +169,8 @@
         self.backoff_until = 0;
     }
 
-    /// Whether it has a queued job.
-    pub fn has_queued(&self) -> bool {
+    /// Whether the function has a queued job.
+    pub fn has_queued_jobs(&self) -> bool {
         self.queued.iter().any(|queued| *queued > 0)
     }
 
@@ -174,17 +180,17 @@
             scheduled: self.scheduled.iter().sum(),
             released: self.released,
             running: self.running,
-            able: self.able,
+            able: self.registered_workers,
             closed: self.closed,
         }
     }
 
-    /// Drops stale entries once they are most of the entries.
-    pub fn sweep(&mut self, live: impl Fn(&QueueEntry) -> bool) {
+    /// Removes stale entries once they outnumber the live ones.
+    pub fn remove_stale_entries(&mut self, is_live: impl Fn(&QueueEntry) -> bool) {
         let entries: usize = self.entries.iter().map(VecDeque::len).sum();
-        if entries > MIN_SWEEP && entries > 2 * self.queued.iter().sum::<usize>() {
+        if entries > MIN_ENTRIES_TO_COMPACT && entries > 2 * self.queued.iter().sum::<usize>() {
             for queue in &mut self.entries {
-                queue.retain(&live);
+                queue.retain(&is_live);
             }
         }
     }
--- a/crates/backlog/src/job.rs
+++ b/crates/backlog/src/job.rs
@@ -1,16 +1,16 @@
-//! One job, from its submission to its end.
+//! The data of a job, from its submission to its end.
 
 use crate::{ClientNo, JobNo, Micros};
 use std::sync::Arc;
 
-/// Where a job is.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Its scheduled time has not been reached.
     Scheduled,
-    /// It waits in its queue.
+    /// It waits in a queue of its function.
     Queued,
-    /// Released to the decisions, under this stream.
+    /// It has been released to the decision module under this stream.
     Released(u32),
 }
 
@@ -19,7 +19,7 @@
 pub struct Waiter<W> {
     /// The client's connection.
     pub client: ClientNo,
-    /// What the caller keeps of it.
+    /// Data that the caller keeps about the client.
     pub context: W,
 }
 
@@ -36,15 +36,16 @@
     pub background: bool,
     /// The clients that wait for it.
     pub waiters: Vec<Waiter<W>>,
-    /// Where it is.
+    /// Its state.
     pub state: State,
     /// When it was submitted.
     pub submitted_at: Micros,
-    /// Until when it waits for a worker, by the monotonic clock; while it is scheduled, that time, by the wall clock.
+    /// Until when it waits for a worker, on the monotonic clock; for a scheduled job, its scheduled time, on the wall
+    /// clock.
     pub wait_deadline: Micros,
     /// Attempts that may have run.
     pub attempts: u32,
-    /// Whether a worker runs it.
+    /// Whether a worker is running it.
     pub running: bool,
     /// Its progress: numerator and denominator, both 0 if unknown.
     pub progress: (u64, u64),
@@ -52,10 +53,11 @@
     pub exception: Option<Vec<u8>>,
     /// Whether a worker reported that it failed.
     pub failed: bool,
-    /// How often it was released.
-    pub(crate) releases: u32,
-    /// The version of its queue entry that counts; older ones are stale.
+    /// Number of its releases.
+    pub(crate) release_count: u32,
+    /// Version of its current queue entry; entries with an older version are stale.
     pub(crate) entry_version: u32,
+    /// Its memory: its data plus the overhead of a job.
     pub(crate) bytes: usize,
     pub(crate) payload: Arc<P>,
 }
@@ -68,11 +70,11 @@
     pub priority: usize,
     /// Its unique id; empty for none.
     pub unique: Vec<u8>,
-    /// Whether it outlives its client's connection; nobody waits for it then.
+    /// Whether it outlives its client's connection.
     pub background: bool,
-    /// The clients that wait for it.
+    /// The client that waits for it; none for a background job.
     pub waiter: Option<Waiter<W>>,
-    /// The scheduled time, by the wall clock; none for at once.
+    /// The scheduled time, on the wall clock; none for a job that may start at once.
     pub not_before: Option<Micros>,
     /// Bytes of its data.
     pub bytes: usize,
@@ -80,48 +82,48 @@
     pub payload: Arc<P>,
 }
 
-/// A job that is released to the decisions.
+/// A job that is released to the decision module.
 pub struct Released<P> {
     /// Its number.
     pub no: JobNo,
-    /// How often it was released before.
+    /// Number of its earlier releases.
     pub earlier_releases: u32,
-    /// Attempts that may have run before.
+    /// Attempts of earlier releases that may have run.
     pub attempts: u32,
     /// 0 (high) to 2 (low).
     pub priority: usize,
-    /// Until when the decisions must have ended it.
+    /// Deadline for the end of this release.
     pub deadline: Micros,
     /// What is forwarded to a worker.
     pub payload: Arc<P>,
 }
 
-/// How the decisions ended a released job.
+/// The decision module's result for a released job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With a worker's result.
+    /// A worker has returned a result.
     Served,
-    /// Rejected: it has not run.
+    /// It was rejected and has not run.
     Rejected,
-    /// Failed.
+    /// It has failed.
     Failed,
-    /// Without an answer in time.
+    /// No answer was received in time.
     TimedOut,
 }
 
-/// What becomes of a released job that the decisions have ended.
+/// What [`Backlog::complete`](crate::Backlog::complete) has done with a released job.
 pub enum Completion<W> {
     /// It has ended.
     Final(EndedJob<W>),
-    /// It is queued again.
+    /// It has been queued again.
     Requeued,
 }
 
 /// The result of a cancellation.
 pub enum Cancellation<W> {
-    /// It is cancelled. It was released under this stream, if it was released.
+    /// The job has been cancelled. The stream is that of its release, if it was released.
     Cancelled(EndedJob<W>, Option<u32>),
-    /// Not cancelled: a worker runs it, or may have run it.
+    /// Not cancelled: a worker is running the job, or may have run it.
     Running,
     /// There is no job with this number.
     Unknown,
@@ -138,7 +140,7 @@
     pub unique: Arc<[u8]>,
     /// Whether it was a background job.
     pub background: bool,
-    /// The clients that wait for it.
+    /// The clients that waited for it.
     pub waiters: Vec<Waiter<W>>,
     /// The reason that a worker gave for its failure.
     pub exception: Option<Vec<u8>>,
@@ -148,7 +150,8 @@
     pub failed: bool,
 }
 
-/// An entry of a queue. A job that leaves its queue, or moves to another one, leaves a stale entry behind.
+/// An entry of a queue. When a job is removed from its queue or moves to another one, its old entry stays there as a
+/// stale entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueEntry {
     pub no: JobNo,
--- a/crates/backlog/src/lib.rs
+++ b/crates/backlog/src/lib.rs
@@ -1,10 +1,10 @@
-//! Submitted jobs that wait for the decisions to place them.
+//! The backlog of submitted jobs that have not ended.
 //!
-//! A [`Backlog`] holds the jobs of many functions in bounded queues by priority, joins those with the same unique id,
-//! keeps scheduled ones until their time comes, and releases the oldest to the decisions at the pace at which workers
-//! can take them. It also queues rejected jobs again. It decides neither where a job runs nor whether an attempt is
-//! repeated. No I/O, no clock and no random source: times come in as arguments, in microseconds; `now` is
-//! a monotonic clock, `wall` the wall clock, which may step either way.
+//! A [`Backlog`] holds the jobs of many functions in bounded queues by priority, joins submissions with the same unique
+//! id, holds scheduled jobs until they are due, and releases the oldest jobs to the decision module at the rate at which
+//! workers can take them. It also queues rejected jobs again. It decides neither where a job runs nor whether an attempt
+//! is repeated. It uses no I/O, clock or random source: times are passed as arguments, in microseconds. `now` is the time
+//! on a monotonic clock, `wall` the time on the wall clock, which may step forwards or backwards.
 
 mod bounds;
 mod completion;
@@ -14,7 +14,7 @@
 mod release;
 mod schedule;
 mod submit;
-mod time;
+mod timers;
 
 pub use bounds::{Bounds, Rejection};
 pub use function::{Counts, FunctionSettings, Window};
@@ -25,43 +25,44 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = i64;
-/// The number of a job: another for each job.
+/// The number of a job, unique within a backlog.
 pub type JobNo = u64;
 /// The number of a client's connection.
 pub type ClientNo = u64;
 
-/// Most clients that wait for one job.
+/// Maximum number of clients that wait for one job.
 pub const MAX_WAITERS: usize = 256;
-/// Backoff after a rejection, at first and at most, in microseconds: for so long a function's jobs are not released,
-/// unless a worker becomes free.
-pub const BACKOFF: [Micros; 2] = [5_000, 500_000];
-/// Bytes that a job takes beside its data.
-pub const JOB_BYTES: usize = 512;
-
-/// The jobs of all functions. `W` is what the caller keeps of a waiting client, `P` what is forwarded to a worker.
+/// Initial and maximum backoff after a rejection, in microseconds. A function's jobs are not released during its backoff,
+/// which ends early when a worker becomes free.
+pub const BACKOFF_RANGE_US: [Micros; 2] = [5_000, 500_000];
+/// Bytes that each job is counted with in addition to its data.
+pub const JOB_OVERHEAD_BYTES: usize = 512;
+
+/// The jobs of all functions. `W` is the caller's data about a waiting client, `P` the payload that is forwarded to a
+/// worker.
 pub struct Backlog<W, P> {
     bounds: Bounds,
     functions: Vec<FunctionQueues>,
     jobs: HashMap<JobNo, Job<W, P>>,
     by_unique: HashMap<(usize, Arc<[u8]>), JobNo>,
     by_client: HashMap<ClientNo, BTreeSet<JobNo>>,
-    /// Scheduled jobs by their time, which is one of the wall clock.
+    /// Scheduled jobs by their scheduled time, which is on the wall clock.
     scheduled: BTreeSet<(Micros, JobNo)>,
     /// Queued jobs by their wait deadline.
     wait_deadlines: BTreeSet<(Micros, JobNo)>,
-    /// Functions that may have a job to release, with the earliest time of that.
+    /// Functions that may have a job to release, with the earliest time of the release.
     ready_functions: BTreeMap<usize, Micros>,
     bytes: usize,
     next_no: JobNo,
-    /// Virtual time among functions, counted in releases: a function that becomes ready again starts from here, with no
-    /// credit for the time in which it had no jobs.
+    /// Virtual time of the fair queuing among functions, in releases. A function that becomes ready again starts at this
+    /// time, so that it gets no credit for the time in which it had no jobs.
     virtual_time: u64,
 }
 
 impl<W, P> Backlog<W, P> {
-    /// An empty backlog without functions.
+    /// Creates an empty backlog without functions.
     pub fn new(bounds: Bounds) -> Backlog<W, P> {
         Backlog {
             bounds,
@@ -78,40 +79,40 @@
         }
     }
 
-    /// Adds a function; returns its index, which stays.
+    /// Adds a function and returns its index, which does not change.
     pub fn add(&mut self, function: FunctionSettings) -> usize {
         self.functions.push(FunctionQueues::new(function));
         self.functions.len() - 1
     }
 
-    /// Replaces a function's settings, and opens it if it was closed; its jobs stay.
+    /// Replaces a function's settings, and reopens the function if it was closed; its jobs stay.
     pub fn reconfigure(&mut self, function: usize, settings: FunctionSettings) {
         self.functions[function].settings = settings;
         self.functions[function].closed = false;
-        self.reconsider(function);
+        self.mark_ready_now(function);
     }
 
-    /// Closes a function: it accepts no further jobs; those it has stay.
+    /// Closes a function: further submissions are rejected, and its jobs stay.
     pub fn close(&mut self, function: usize) {
         self.functions[function].closed = true;
     }
 
-    /// Sets the bounds of a function's queues, by priority.
+    /// Sets the limits of a function's queues, by priority.
     pub fn set_max_queue(&mut self, function: usize, max_queue: [usize; 3]) {
         self.functions[function].settings.max_queue = max_queue;
     }
 
-    /// The counts of a function.
+    /// The job and worker counts of a function.
     pub fn counts(&self, function: usize) -> Counts {
         self.functions[function].counts()
     }
 
-    /// A function's settings.
+    /// The settings of a function.
     pub fn settings(&self, function: usize) -> &FunctionSettings {
         &self.functions[function].settings
     }
 
-    /// Number of jobs, of all functions.
+    /// Number of jobs of all functions.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -121,17 +122,17 @@
         self.jobs.is_empty()
     }
 
-    /// Memory of all jobs, in bytes.
+    /// Memory of all jobs in bytes: their data plus [`JOB_OVERHEAD_BYTES`] per job.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A job.
+    /// The job with this number, unless it has ended.
     pub fn job(&self, no: JobNo) -> Option<&Job<W, P>> {
         self.jobs.get(&no)
     }
 
-    /// The job with a unique id.
+    /// The job of a function with this unique id; none for an empty id.
     pub fn by_unique(&self, function: usize, unique: &[u8]) -> Option<JobNo> {
         if unique.is_empty() {
             return None;
@@ -139,12 +140,12 @@
         self.by_unique.get(&(function, Arc::from(unique))).copied()
     }
 
-    /// All jobs, in no order.
+    /// All jobs, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (JobNo, &Job<W, P>)> {
         self.jobs.iter().map(|(no, job)| (*no, job))
     }
 
-    /// Number of jobs for which a client waits.
+    /// Number of jobs for which this client waits.
     pub fn jobs_awaited_by(&self, client: ClientNo) -> usize {
         self.by_client.get(&client).map_or(0, BTreeSet::len)
     }
--- a/crates/backlog/src/schedule.rs
+++ b/crates/backlog/src/schedule.rs
@@ -1,12 +1,12 @@
-//! Scheduled times, given as fields of a calendar.
+//! Scheduled times as calendar fields, like those of a cron expression.
 
 use crate::Micros;
 use jiff::civil::{Date, date, time};
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan};
 
-/// A time by minute, hour, day of the month, month and day of the week (0 is Monday). A field without a value matches
-/// always; all fields with a value must match.
+/// A scheduled time by minute, hour, day of the month, month and day of the week. A field without a value matches any
+/// value; all fields with a value must match.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CalendarFields {
     /// 0 to 59.
@@ -17,19 +17,20 @@
     pub day: Option<u8>,
     /// 1 to 12.
     pub month: Option<u8>,
-    /// 0 to 6.
+    /// 0 (Monday) to 6.
     pub weekday: Option<u8>,
 }
 
-/// Days that are searched: a leap day may be eight years off, and one on a given weekday forty.
-const SEARCHED_DAYS: usize = 366 * 41;
-/// Last year in which a time is searched.
-const MAX_YEAR: i16 = 9998;
+/// Maximum number of days that are searched. The next leap day may be 8 years away, and the next one on a given weekday
+/// 40 years.
+const MAX_SEARCH_DAYS: usize = 366 * 41;
+/// Last year that is searched.
+const MAX_SEARCH_YEAR: i16 = 9998;
 
-/// A time zone by its name.
+/// Finds a time zone by its name.
 ///
 /// # Errors
-/// The machine knows no time zone with this name.
+/// The system's time zone database has no time zone of this name.
 pub fn time_zone(name: &str) -> Result<TimeZone, jiff::Error> {
     if name == "UTC" {
         return Ok(TimeZone::UTC);
@@ -38,29 +39,29 @@
 }
 
 impl CalendarFields {
-    /// The first minute after `now` at which all fields match, both in microseconds since the Unix epoch; none if there
-    /// is none, as on the 30th of February. A time that a change of the clocks leaves out does not match.
+    /// The first minute after `now` at which all fields match, both in microseconds since the Unix epoch. `None` if there
+    /// is no such minute, as for 30 February. A local time that is skipped by a daylight saving change does not match.
     pub fn next(&self, now: Micros, zone: &TimeZone) -> Option<Micros> {
         let now = Timestamp::from_microsecond(now).ok()?;
         let mut day = now.to_zoned(zone.clone()).date();
-        for _ in 0..SEARCHED_DAYS {
+        for _ in 0..MAX_SEARCH_DAYS {
             if self.matches_day(day)
-                && let Some(time) = self.first_on_day(day, now, zone)
+                && let Some(time) = self.first_match_on_day(day, now, zone)
             {
                 return Some(time.as_microsecond());
             }
-            day = self.next_candidate(day)?;
+            day = self.next_candidate_day(day)?;
         }
         None
     }
 
-    /// The next day that may match.
-    fn next_candidate(&self, day: Date) -> Option<Date> {
+    /// The next day that may match; other months are skipped.
+    fn next_candidate_day(&self, day: Date) -> Option<Date> {
         match self.month {
             Some(month) if month as i8 != day.month() => {
                 let is_later = month as i8 > day.month();
                 let year = if is_later { day.year() } else { day.year().checked_add(1)? };
-                (year <= MAX_YEAR).then(|| date(year, month as i8, 1))
+                (year <= MAX_SEARCH_YEAR).then(|| date(year, month as i8, 1))
             }
             _ => day.checked_add(1.day()).ok(),
         }
@@ -74,16 +75,16 @@
     }
 
     /// The first matching minute of a day after `now`.
-    fn first_on_day(&self, day: Date, now: Timestamp, zone: &TimeZone) -> Option<Timestamp> {
-        let candidates = |field: Option<u8>, most: i8| match field {
+    fn first_match_on_day(&self, day: Date, now: Timestamp, zone: &TimeZone) -> Option<Timestamp> {
+        let candidates = |field: Option<u8>, max: i8| match field {
             Some(value) => value as i8..=value as i8,
-            None => 0..=most,
+            None => 0..=max,
         };
         for hour in candidates(self.hour, 23) {
             for minute in candidates(self.minute, 59) {
                 let wanted = day.to_datetime(time(hour, minute, 0, 0));
                 let Ok(zoned) = zone.to_ambiguous_zoned(wanted).compatible() else { continue };
-                // A time that a change of the clocks leaves out would be shifted.
+                // `compatible` shifts a local time that is skipped by a daylight saving change.
                 if zoned.datetime() == wanted && zoned.timestamp() > now {
                     return Some(zoned.timestamp());
                 }
--- a/crates/backlog/src/submit.rs
+++ b/crates/backlog/src/submit.rs
@@ -1,34 +1,35 @@
-//! Submissions: a job is new, or joins the one with the same unique id.
+//! Submissions: each creates a job, or joins the job with the same unique id.
 
 use crate::job::{Job, NewJob, State, Waiter};
 use crate::release::QueuePosition;
-use crate::{Backlog, JOB_BYTES, JobNo, MAX_WAITERS, Micros, Rejection};
+use crate::{Backlog, JOB_OVERHEAD_BYTES, JobNo, MAX_WAITERS, Micros, Rejection};
 use std::sync::Arc;
 
 impl<W, P> Backlog<W, P> {
-    /// Whether a job would be accepted.
+    /// Checks whether a new job with `bytes` bytes of data would be accepted.
     ///
     /// # Errors
-    /// Why it would be rejected.
+    /// The reason for which it would be rejected.
     pub fn check_capacity(&self, function: usize, priority: usize, bytes: usize) -> Result<(), Rejection> {
         let queues = &self.functions[function];
         if queues.closed {
             Err(Rejection::Closed)
-        } else if queues.waiting(priority) >= queues.settings.max_queue[priority] {
-            Err(Rejection::Queue)
+        } else if queues.waiting_jobs(priority) >= queues.settings.max_queue[priority] {
+            Err(Rejection::QueueFull)
         } else if self.jobs.len() >= self.bounds.jobs {
-            Err(Rejection::Jobs)
-        } else if self.bytes + bytes + JOB_BYTES > self.bounds.bytes {
-            Err(Rejection::Bytes)
+            Err(Rejection::TooManyJobs)
+        } else if self.bytes + bytes + JOB_OVERHEAD_BYTES > self.bounds.bytes {
+            Err(Rejection::TooManyBytes)
         } else {
             Ok(())
         }
     }
 
-    /// Accepts a new job. One with the unique id of another must be [joined](Self::join) to that instead.
+    /// Accepts a new job and returns its number. A submission with the unique id of another job must be
+    /// [joined](Self::join) to that job instead.
     ///
     /// # Errors
-    /// Why it is rejected.
+    /// The reason for which it is rejected.
     pub fn submit(&mut self, new: NewJob<W, P>, now: Micros) -> Result<JobNo, Rejection> {
         self.check_capacity(new.function, new.priority, new.bytes)?;
         let no = self.next_no;
@@ -46,9 +47,9 @@
             submitted_at: now,
             wait_deadline,
             attempts: 0,
-            releases: 0,
+            release_count: 0,
             entry_version: 0,
-            bytes: new.bytes + JOB_BYTES,
+            bytes: new.bytes + JOB_OVERHEAD_BYTES,
             running: false,
             progress: (0, 0),
             exception: None,
@@ -58,7 +59,7 @@
         self.bytes += job.bytes;
         if !unique.is_empty() {
             let other = self.by_unique.insert((new.function, unique), no);
-            debug_assert!(other.is_none(), "a unique id names one job");
+            debug_assert!(other.is_none(), "a unique id belongs to one job");
         }
         if let Some(waiter) = new.waiter {
             self.by_client.entry(waiter.client).or_default().insert(no);
@@ -66,7 +67,7 @@
         }
         match new.not_before {
             Some(time) => {
-                // It waits for a worker from that time on, see `tick`. Until then that is its deadline.
+                // Until the scheduled time, `wait_deadline` holds that time. `tick` sets the deadline for a worker then.
                 job.wait_deadline = time;
                 self.functions[job.function].scheduled[job.priority] += 1;
                 self.scheduled.insert((time, no));
@@ -81,8 +82,8 @@
         Ok(no)
     }
 
-    /// Joins another submission of the same function and unique id to a job. The job gets the higher of the priorities,
-    /// and outlives its clients' connections if either is a background job.
+    /// Joins another submission of the same function and unique id to a job. A queued job gets the higher of the two
+    /// priorities. The job becomes a background job, which outlives its clients' connections, if either is one.
     ///
     /// # Errors
     /// Too many clients wait for the job, or it has ended.
@@ -95,7 +96,7 @@
     ) -> Result<(), Rejection> {
         let Some(job) = self.jobs.get_mut(&no) else { return Err(Rejection::Closed) };
         if waiter.is_some() && job.waiters.len() >= MAX_WAITERS {
-            return Err(Rejection::Waiters);
+            return Err(Rejection::TooManyWaiters);
         }
         if let Some(waiter) = waiter {
             self.by_client.entry(waiter.client).or_default().insert(no);
--- a/crates/backlog/src/time.rs
+++ b/crates/backlog/src/timers.rs
@@ -1,19 +1,19 @@
-//! Timers: scheduled jobs are queued at their time, and jobs that have waited too long for a worker end.
+//! Timers: scheduled jobs are queued when they are due, and jobs that have waited too long for a worker expire.
 
 use crate::job::EndedJob;
 use crate::release::QueuePosition;
 use crate::{Backlog, JobNo, Micros};
 use std::collections::BTreeSet;
 
-/// The first entry whose time has come.
+/// The earliest entry, if it is due.
 fn first_due(times: &BTreeSet<(Micros, JobNo)>, now: Micros) -> Option<(Micros, JobNo)> {
     times.first().copied().filter(|(time, _)| *time <= now)
 }
 
 impl<W, P> Backlog<W, P> {
-    /// Queues scheduled jobs whose time has come, and ends jobs that have waited too long; returns those.
+    /// Queues the scheduled jobs that are due, and removes and returns the jobs that have waited too long for a worker.
     ///
-    /// The wall clock may step either way: a job that was queued stays so.
+    /// If the wall clock steps back, jobs that have been queued stay queued.
     pub fn tick(&mut self, now: Micros, wall: Micros) -> Vec<EndedJob<W>> {
         while let Some((time, no)) = first_due(&self.scheduled, wall) {
             self.scheduled.remove(&(time, no));
@@ -27,7 +27,7 @@
         expired
     }
 
-    /// Queues a job whose scheduled time has come. It waits for a worker from now on.
+    /// Queues a scheduled job that is due. Its maximum wait for a worker starts now.
     fn queue_scheduled(&mut self, no: JobNo, now: Micros) {
         let Some(job) = self.jobs.get_mut(&no) else { return };
         let queues = &mut self.functions[job.function];
@@ -37,7 +37,7 @@
         self.enqueue(no, QueuePosition::Tail);
     }
 
-    /// When [`tick`](Self::tick) has something to do next: on the monotonic clock, and on the wall clock.
+    /// The next times at which [`tick`](Self::tick) must be called, on the monotonic clock and on the wall clock.
     pub fn next_deadlines(&self) -> (Option<Micros>, Option<Micros>) {
         let wait_deadline = self.wait_deadlines.first().map(|(time, _)| *time);
         let scheduled = self.scheduled.first().map(|(time, _)| *time);
