--- a/crates/backlog/src/function.rs
+++ b/crates/backlog/src/function.rs
@@ -93,8 +93,8 @@
     pub backoff: Micros,
     /// No job is released before this time.
     pub backoff_until: Micros,
-    /// Start tag of the next release, as in start-time fair queuing: one more for each release, and raised to the virtual
-    /// time when the function becomes ready again.
+    /// Start tag of the next release, as in start-time fair queuing: one more for each release, and raised to the
+    /// virtual time when the function becomes ready again.
     pub start_tag: u64,
     /// Moving average of the duration of a run, in microseconds; 0 before the first run.
     mean_run_time: f64,
--- a/crates/backlog/src/lib.rs
+++ b/crates/backlog/src/lib.rs
@@ -1,10 +1,10 @@
 //! The backlog of submitted jobs that have not ended.
 //!
-//! A [`Backlog`] holds the jobs of many functions in bounded queues by priority, joins submissions with the same unique
-//! id, holds scheduled jobs until they are due, and releases the oldest jobs to the decision module at the rate at which
-//! workers can take them. It also queues rejected jobs again. It decides neither where a job runs nor whether an attempt
-//! is repeated. It uses no I/O, clock or random source: times are passed as arguments, in microseconds. `now` is the time
-//! on a monotonic clock, `wall` the time on the wall clock, which may step forwards or backwards.
+//! A [`Backlog`] holds the jobs of many functions in bounded queues by priority, joins submissions with the same
+//! unique id, holds scheduled jobs until they are due, and releases the oldest jobs to the decision module at the rate
+//! at which workers can take them. It also queues rejected jobs again. It decides neither where a job runs nor whether
+//! an attempt is repeated. It uses no I/O, clock or random source: times are passed as arguments, in microseconds.
+//! `now` is the time on a monotonic clock, `wall` the time on the wall clock, which may step forwards or backwards.
 
 mod bounds;
 mod completion;
@@ -34,10 +34,10 @@
 
 /// Maximum number of clients that wait for one job.
 pub const MAX_WAITERS: usize = 256;
-/// Initial and maximum backoff after a rejection, in microseconds. A function's jobs are not released during its backoff,
-/// which ends early when a worker becomes free.
+/// Initial and maximum backoff after a rejection, in microseconds. A function's jobs are not released during its
+/// backoff, which ends early when a worker becomes free.
 pub const BACKOFF_RANGE_US: [Micros; 2] = [5_000, 500_000];
-/// Bytes that each job is counted with in addition to its data.
+/// Memory that is counted for each job in addition to its data, in bytes.
 pub const JOB_OVERHEAD_BYTES: usize = 512;
 
 /// The jobs of all functions. `W` is the caller's data about a waiting client, `P` the payload that is forwarded to a
--- a/crates/backlog/src/schedule.rs
+++ b/crates/backlog/src/schedule.rs
@@ -39,8 +39,9 @@
 }
 
 impl CalendarFields {
-    /// The first minute after `now` at which all fields match, both in microseconds since the Unix epoch. `None` if there
-    /// is no such minute, as for 30 February. A local time that is skipped by a daylight saving change does not match.
+    /// The first minute after `now` at which all fields match, both in microseconds since the Unix epoch. `None` if
+    /// there is no such minute, as for 30 February. A local time that is skipped by a daylight saving change does not
+    /// match.
     pub fn next(&self, now: Micros, zone: &TimeZone) -> Option<Micros> {
         let now = Timestamp::from_microsecond(now).ok()?;
         let mut day = now.to_zoned(zone.clone()).date();
--- a/crates/backlog/tests/model.rs
+++ b/crates/backlog/tests/model.rs
@@ -256,8 +256,8 @@
     assert_eq!(backlog.release(0, || 5).map(|r| r.no), Some(few_jobs[1]));
 }
 
-/// A rejected job returns to the head of its queue, and the function backs off until a worker becomes free or the backoff
-/// ends. Guards against lost jobs and against releasing rejected jobs in a busy loop.
+/// A rejected job returns to the head of its queue, and the function backs off until a worker becomes free or the
+/// backoff ends. Guards against lost jobs and against releasing rejected jobs in a busy loop.
 #[rstest]
 fn a_rejected_job_is_queued_again_after_a_backoff() {
     let mut backlog = new_backlog(1);
@@ -298,8 +298,8 @@
     assert!(backlog.is_empty());
 }
 
-/// After the wall clock steps back, queued jobs stay queued, and none is queued twice. 1000 jobs that are due at the same
-/// time are all queued, since scheduled jobs count towards the queue limit.
+/// After the wall clock steps back, queued jobs stay queued, and none is queued twice. 1000 jobs that are due at the
+/// same time are all queued, since scheduled jobs count towards the queue limit.
 #[rstest]
 fn jobs_are_queued_once_at_their_scheduled_wall_clock_time() {
     let mut backlog = Backlog::<(), u64>::new(Bounds { jobs: 2000, bytes: 1 << 24 });
@@ -320,8 +320,8 @@
     assert_eq!(backlog.tick(60 * SECOND + 1, 99 * SECOND).len(), 1000);
 }
 
-/// A second submission with the same unique id joins the job, raises its priority, and keeps the job when the first client
-/// disconnects.
+/// A second submission with the same unique id joins the job, raises its priority, and keeps the job when the first
+/// client disconnects.
 #[rstest]
 fn a_joined_job_takes_the_higher_priority_and_outlives_its_client() {
     let mut backlog = new_backlog(1);
--- a/crates/gearman/src/client.rs
+++ b/crates/gearman/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's side of a connection: submits jobs and follows them to their final answer.
+//! The client side of a connection: submits jobs and tracks them until their final answer.
 
 use crate::decode::DecodeError;
 use crate::packet::{Kind, Packet};
@@ -6,10 +6,10 @@
 use crate::submit::Submission;
 use std::collections::{HashMap, VecDeque};
 
-/// The number of a submission of this client, in the order of submission.
+/// The number of a submission. A client numbers its submissions from 0 in their order.
 pub type Ticket = u64;
 
-/// What a client receives.
+/// An event that a client receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A job was created under this handle.
@@ -18,48 +18,48 @@
     Rejected {
         /// The submission.
         ticket: Ticket,
-        /// The error's code.
+        /// The error code.
         code: Vec<u8>,
-        /// The error's text.
+        /// The error text.
         text: Vec<u8>,
     },
-    /// A part of a job's result.
+    /// A chunk of a job's result.
     Data(Ticket, Vec<u8>),
-    /// A warning.
+    /// A warning about a job.
     Warning(Ticket, Vec<u8>),
-    /// The progress of a job, as sent.
+    /// The progress of a job, as the worker sent it.
     Status {
         /// The submission.
         ticket: Ticket,
-        /// The part that is done.
+        /// The completed part.
         numerator: Vec<u8>,
-        /// The whole.
+        /// The total.
         denominator: Vec<u8>,
     },
-    /// Why a job will fail; the failure follows.
+    /// The reason for which a job will fail; its [`Event::Fail`] follows.
     Exception(Ticket, Vec<u8>),
     /// The final answer: the result.
     Complete(Ticket, Vec<u8>),
     /// The final answer: the job has failed.
     Fail(Ticket),
-    /// The answer to another request: its type and its arguments.
+    /// The response to another request: its packet type and its arguments.
     Answer(Kind, Vec<u8>),
-    /// A packet about a job that this client does not wait for: a fault of the server.
+    /// A malformed packet, or one about a job that this client does not wait for: an error of the server.
     Unexpected(Kind, Vec<u8>),
 }
 
-/// A submission without an answer.
+/// A submission without a response.
 struct PendingSubmission {
     ticket: Ticket,
     is_background: bool,
 }
 
-/// The state machine.
+/// The state machine of a client.
 pub struct Client {
     stream: PeerStream<Event>,
     next_ticket: Ticket,
     pending: VecDeque<PendingSubmission>,
-    /// Foreground submissions without a final answer, by the handle of their job.
+    /// Created foreground submissions without a final answer, by the handle of their job.
     waiting: HashMap<Vec<u8>, Vec<Ticket>>,
 }
 
@@ -84,17 +84,17 @@
         ticket
     }
 
-    /// Sends any other packet. Its answer is an [`Event::Answer`].
+    /// Sends any other packet. Its response is an [`Event::Answer`].
     pub fn send(&mut self, kind: Kind, args: &[&[u8]]) {
         self.stream.send(kind, args);
     }
 
-    /// Takes the bytes that are to be written.
+    /// Takes the bytes to be sent.
     pub fn take_output(&mut self) -> Vec<u8> {
         self.stream.take_output()
     }
 
-    /// Number of submissions without an answer, and of those whose final answer is still to come.
+    /// Number of submissions without a response, plus those that wait for their final answer.
     pub fn unfinished(&self) -> usize {
         self.waiting.values().map(Vec::len).sum::<usize>() + self.pending.len()
     }
@@ -102,7 +102,7 @@
     /// Handles received bytes.
     ///
     /// # Errors
-    /// They are no packets of a server.
+    /// If they are not valid packets of a server.
     pub fn input(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
         self.stream.feed(bytes);
         while let Some(packet) = self.stream.next_packet()? {
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// The next event.
+    /// Returns the next event, if any.
     pub fn poll(&mut self) -> Option<Event> {
         self.stream.next_event()
     }
@@ -169,7 +169,7 @@
         self.stream.push_event(Event::Unexpected(received.kind, received.data.clone()));
     }
 
-    /// An event for each submission that waits for a job.
+    /// Adds an event for each submission that waits for a job.
     fn push_for_job(&mut self, handle: &[u8], received: &ReceivedPacket, event: impl Fn(Ticket) -> Event) {
         let Some(tickets) = self.waiting.get(handle) else { return self.push_unexpected(received) };
         for ticket in tickets {
@@ -177,8 +177,8 @@
         }
     }
 
-    /// The final answer for each submission that joined the job: a server sends it once for a connection, or once for
-    /// each submission.
+    /// Adds the final answer for each submission that joined a job. A server may send it once per connection, or once
+    /// per submission.
     fn push_final(&mut self, handle: &[u8], received: &ReceivedPacket, event: impl Fn(Ticket) -> Event) {
         let Some(tickets) = self.waiting.remove(handle) else { return self.push_unexpected(received) };
         for ticket in tickets {
--- a/crates/gearman/src/decode.rs
+++ b/crates/gearman/src/decode.rs
@@ -1,21 +1,21 @@
-//! The decoder: bytes become packets and administrators' lines.
+//! Decodes received bytes into packets and lines of the text protocol for administrators.
 //!
-//! A small packet is copied out of the read buffer. The bytes of a large one are read straight into the vector that
-//! the packet keeps, which grows with what was received, not with what the head of the packet claims. So a connection
-//! that claims much and sends little costs little memory.
+//! The arguments of a small packet are copied out of the receive buffer. Those of a large packet are appended directly
+//! to the vector that the packet owns. That vector grows with the bytes received, and is not allocated from the size
+//! in the header, so that a connection that announces a large packet and sends little uses little memory.
 
 use crate::packet::{HEAD, Kind, Magic};
 use std::fmt;
 
-/// Bytes to read at a time. Arguments up to this size pass through the buffer.
+/// Number of bytes to read at a time. Arguments of up to this size are held in the receive buffer.
 pub const CHUNK: usize = 8 * 1024;
 
-/// Bounds of a decoder.
+/// Limits of a decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a packet's arguments. A larger packet is read and dropped.
+    /// Maximum size of a packet's arguments in bytes. A larger packet is read and discarded.
     pub packet: usize,
-    /// Most bytes of an administrator's line.
+    /// Maximum length of a text line in bytes.
     pub line: usize,
 }
 
@@ -25,36 +25,38 @@
     }
 }
 
-/// What was received.
+/// A decoded part of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// A packet, and its arguments with NUL bytes between them.
+    /// A packet and its arguments, which are separated by NUL bytes.
     Packet(Kind, Vec<u8>),
-    /// A packet of a type that is not assigned, without its arguments.
+    /// A packet of an unassigned type, whose arguments have been discarded.
     Unknown(u32),
-    /// A packet with so many bytes of arguments, more than a [`CHUNK`], has begun. [`Decoder::skip`] drops it;
-    /// otherwise it follows once it is complete.
+    /// The header of a packet with this many bytes of arguments, more than [`CHUNK`]. [`Decoder::skip`] discards the
+    /// packet; otherwise it follows once it is complete.
     Large(Kind, usize),
-    /// A packet of this size was dropped, and has come to its end.
+    /// The end of a discarded packet with this many bytes of arguments.
     Skipped(Kind, usize),
-    /// An administrator's line without its end.
+    /// A line of the text protocol, without its line ending.
     Line(Vec<u8>),
 }
 
-/// Why the bytes of a connection cannot be read on.
+/// An error after which the bytes of a connection can no longer be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Neither a packet of this direction nor a line.
+    /// The bytes start neither with this direction's magic word nor a text line.
     InvalidMagic,
-    /// A line without an end.
+    /// No line ending within the maximum length of a text line.
     LineTooLong,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            DecodeError::InvalidMagic => "neither a packet of this direction nor a line",
-            DecodeError::LineTooLong => "a line without an end",
+            DecodeError::InvalidMagic => {
+                "invalid magic word: neither a packet of this direction nor a text line"
+            }
+            DecodeError::LineTooLong => "no line ending within the maximum length of a text line",
         })
     }
 }
@@ -64,27 +66,29 @@
 enum State {
     /// At the start of a packet or a line.
     Start,
-    /// In a large packet.
+    /// Within the arguments of a large packet.
     Large { kind: Kind, size: usize, data: Vec<u8> },
-    /// In a packet that is dropped.
+    /// Within the arguments of a packet that is discarded.
     Skipping { kind: Option<Kind>, code: u32, size: usize, remaining: usize },
 }
 
-/// The head of a packet.
-struct Head {
+/// The header of a packet.
+struct Header {
     code: u32,
-    /// None if the type is not assigned.
+    /// `None` if the type is not assigned.
     kind: Option<Kind>,
-    /// Bytes of arguments.
+    /// Size of the arguments in bytes.
     size: usize,
 }
 
-impl Head {
-    /// Reads the type and the size. The magic word has been checked.
-    fn read(bytes: &[u8]) -> Head {
-        let number = |at: usize| u32::from_be_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-        let code = number(4);
-        Head { code, kind: Kind::of(code), size: number(8) as usize }
+impl Header {
+    /// Reads the type and the size. The caller has checked the magic word.
+    fn read(bytes: &[u8]) -> Header {
+        let read_u32 = |offset: usize| {
+            u32::from_be_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
+        };
+        let code = read_u32(4);
+        Header { code, kind: Kind::from_code(code), size: read_u32(8) as usize }
     }
 }
 
@@ -93,25 +97,25 @@
     magic: Magic,
     limits: Limits,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that have been decoded.
+    /// Number of bytes of the buffer that have been decoded.
     position: usize,
     state: State,
     error: Option<DecodeError>,
 }
 
 impl Decoder {
-    /// A decoder for packets with this magic word.
+    /// Creates a decoder for packets with this magic word.
     pub fn new(magic: Magic, limits: Limits) -> Decoder {
         Decoder { magic, limits, buffer: Vec::new(), position: 0, state: State::Start, error: None }
     }
 
-    /// Takes in bytes. Call [`next_frame`](Self::next_frame) until it returns none before the next call, or the buffer
-    /// grows with what is fed.
+    /// Adds received bytes. Call [`next_frame`](Self::next_frame) until it returns `None` before the next call;
+    /// otherwise the buffer grows with each call.
     pub fn feed(&mut self, bytes: &[u8]) {
         let mut bytes = bytes;
         if self.position == self.buffer.len() {
-            // The rest of a large packet need not pass through the buffer.
-            bytes = self.absorb(bytes);
+            // The rest of a large packet bypasses the buffer.
+            bytes = self.consume_arguments(bytes);
             self.position = 0;
             self.buffer.clear();
         } else if self.position >= CHUNK {
@@ -121,8 +125,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the bytes that belong to the large or dropped packet under way. Returns the others.
-    fn absorb<'b>(&mut self, bytes: &'b [u8]) -> &'b [u8] {
+    /// Consumes the bytes that belong to the current large or discarded packet. Returns the remaining bytes.
+    fn consume_arguments<'b>(&mut self, bytes: &'b [u8]) -> &'b [u8] {
         let taken = match &mut self.state {
             State::Start => 0,
             State::Large { size, data, .. } => {
@@ -139,7 +143,7 @@
         &bytes[taken..]
     }
 
-    /// Drops the large packet that has just been announced.
+    /// Discards the large packet whose [`Frame::Large`] was returned last.
     pub fn skip(&mut self) {
         if let State::Large { kind, size, data } = &self.state {
             let (kind, size) = (*kind, *size);
@@ -148,12 +152,12 @@
         }
     }
 
-    /// Whether a packet or a line has begun and is not complete.
+    /// Whether a packet or a line has been received in part.
     pub fn is_inside(&self) -> bool {
         self.position < self.buffer.len() || !matches!(self.state, State::Start)
     }
 
-    /// Bytes of memory for what is not complete.
+    /// Memory that is allocated for incomplete packets and lines, in bytes.
     pub fn buffered_bytes(&self) -> usize {
         let large = match &self.state {
             State::Large { data, .. } => data.capacity(),
@@ -162,10 +166,10 @@
         self.buffer.capacity() + large
     }
 
-    /// The next frame, if one is complete.
+    /// Returns the next frame, if one is complete.
     ///
     /// # Errors
-    /// The bytes are neither packets nor lines. Each later call returns the same error.
+    /// If the bytes are neither packets nor lines. Each later call returns the same error.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, DecodeError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -196,25 +200,25 @@
         }
     }
 
-    /// Goes on with a large or dropped packet. Returns its frame if it is complete.
+    /// Continues with the current large or discarded packet. Returns its frame if it is complete.
     fn continue_packet(&mut self) -> Option<Frame> {
         let buffer = std::mem::take(&mut self.buffer);
-        let rest = self.absorb(&buffer[self.position..]).len();
+        let rest = self.consume_arguments(&buffer[self.position..]).len();
         self.position = buffer.len() - rest;
         self.buffer = buffer;
-        self.complete_packet()
+        self.take_complete_packet()
     }
 
     fn decode_packet(&mut self) -> Result<Option<Frame>, DecodeError> {
         let available = &self.buffer[self.position..];
-        let magic_bytes = available.len().min(4);
-        if available[..magic_bytes] != self.magic.bytes()[..magic_bytes] {
+        let magic_size = available.len().min(4);
+        if available[..magic_size] != self.magic.bytes()[..magic_size] {
             return Err(DecodeError::InvalidMagic);
         }
         if available.len() < HEAD {
             return Ok(None);
         }
-        let Head { code, kind, size } = Head::read(available);
+        let Header { code, kind, size } = Header::read(available);
         let Some(kind) = kind.filter(|_| size <= self.limits.packet) else {
             self.position += HEAD;
             self.state = State::Skipping { kind, code, size, remaining: size };
@@ -233,8 +237,8 @@
         Ok(Some(Frame::Packet(kind, data)))
     }
 
-    /// The frame of the large or dropped packet under way, if that is complete.
-    fn complete_packet(&mut self) -> Option<Frame> {
+    /// Takes the frame of the current large or discarded packet, if the packet is complete.
+    fn take_complete_packet(&mut self) -> Option<Frame> {
         let is_complete = match &self.state {
             State::Start => false,
             State::Large { size, data, .. } => data.len() == *size,
--- a/crates/gearman/src/lib.rs
+++ b/crates/gearman/src/lib.rs
@@ -1,13 +1,14 @@
-//! The Gearman protocol, sans I/O: bytes and time come in, bytes and events go out.
+//! Sans-I/O implementation of the Gearman protocol: received bytes and times are passed in; bytes to send and events are
+//! returned.
 //!
-//! - [`packet`](mod@packet): every packet type of the public specification ("Gearman Protocol", sections Client/Worker Requests,
-//!   Client Requests and Responses, Worker Requests and Responses), its arguments, and how they are written.
-//! - [`decode`]: the bytes of a connection become packets and administrators' lines, in bounded memory.
-//! - [`submit`]: the ten ways to submit a job as one typed record.
-//! - [`server`]: what a server knows of a connection that is a worker's.
-//! - [`client`], [`worker`]: the two kinds of peers, for simulated peers, load tools and tests.
+//! - [`packet`](mod@packet): all packet types of the public specification ("Gearman Protocol", sections Client/Worker
+//!   Requests, Client Requests and Responses, Worker Requests and Responses), their arguments and their encoding.
+//! - [`decode`]: decodes the bytes of a connection into packets and lines of the text protocol, in bounded memory.
+//! - [`submit`]: the ten packet types that submit a job, as one typed struct.
+//! - [`server`]: a server's state of a worker's connection.
+//! - [`client`], [`worker`]: the state machines of clients and workers, for simulated peers, load tools and tests.
 //!
-//! Nothing here opens a socket, reads a clock or decides which worker gets a job.
+//! This crate opens no sockets, reads no clock and does not decide which worker gets a job.
 
 pub mod client;
 pub mod decode;
--- a/crates/gearman/src/packet.rs
+++ b/crates/gearman/src/packet.rs
@@ -1,15 +1,15 @@
-//! Packet types and their arguments.
+//! The packet types, their arguments, and the encoding of packets.
 //!
-//! A packet is a magic word of four bytes (`\0REQ` or `\0RES`), the type and the size of what follows (both four
-//! bytes, big-endian), then the arguments with a NUL byte between them. The last argument takes the rest, so data
-//! may hold any bytes.
+//! A packet consists of a magic word of four bytes (`\0REQ` or `\0RES`), the type and the size of the arguments (both
+//! four bytes, big-endian), and the arguments, separated by NUL bytes. The last argument extends to the end of the
+//! packet, so that it may contain any bytes.
 
 use std::fmt;
 
-/// Bytes of a packet before its arguments.
+/// Size of a packet's header in bytes: the magic word, the type and the size of the arguments.
 pub const HEAD: usize = 12;
 
-/// The direction of a packet.
+/// The direction of a packet, as its magic word gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Magic {
     /// To a server.
@@ -19,7 +19,7 @@
 }
 
 impl Magic {
-    /// Its four bytes.
+    /// The four bytes of the magic word.
     pub const fn bytes(self) -> &'static [u8; 4] {
         match self {
             Magic::Req => b"\0REQ",
@@ -28,7 +28,7 @@
     }
 }
 
-/// Who sends a packet type, as the specification lists it.
+/// The sender of a packet type, as listed in the specification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
     /// A client.
@@ -39,14 +39,14 @@
     Peer,
     /// A server, to clients or workers.
     Server,
-    /// A worker to the server, and the server to the clients that wait.
+    /// A worker, to the server, which relays the packet to the waiting clients.
     Relayed,
 }
 
-/// A packet whose arguments are not those of its type.
+/// The error for a packet that lacks arguments of its type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed {
-    /// The type.
+    /// The type of the packet.
     pub kind: Kind,
 }
 
@@ -60,57 +60,57 @@
 
 macro_rules! packets {
     ($($name:ident = $code:literal $label:literal $sender:ident ($($field:ident),*);)*) => {
-        /// The packet types by their published numbers. 5 and 43 are not assigned.
+        /// The packet types with their numbers in the specification. 5 and 43 are not assigned.
         #[allow(missing_docs)]
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Kind { $($name = $code),* }
 
         impl Kind {
-            /// All of them, by number.
+            /// All packet types, in the order of their numbers.
             pub const ALL: &'static [Kind] = &[$(Kind::$name),*];
 
-            /// The type with a number.
-            pub fn of(code: u32) -> Option<Kind> {
+            /// The type with this number, if it is assigned.
+            pub fn from_code(code: u32) -> Option<Kind> {
                 match code { $($code => Some(Kind::$name),)* _ => None }
             }
-            /// Its name in the specification.
+            /// The name of the type in the specification.
             pub fn label(self) -> &'static str {
                 match self { $(Kind::$name => $label),* }
             }
-            /// Who sends it.
+            /// The sender of packets of this type.
             pub fn sender(self) -> Sender {
                 match self { $(Kind::$name => Sender::$sender),* }
             }
-            /// The names of its arguments, in order.
+            /// The names of the arguments, in order.
             pub fn arguments(self) -> &'static [&'static str] {
                 match self { $(Kind::$name => &[$(stringify!($field)),*]),* }
             }
         }
 
-        /// A packet with its arguments, which lie in the bytes that it was read from.
+        /// A packet with its arguments, which borrow the bytes that it was parsed from.
         #[allow(missing_docs)]
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Packet<'a> { $($name { $($field: &'a [u8]),* }),* }
 
         impl<'a> Packet<'a> {
-            /// Its type.
+            /// The type of the packet.
             pub fn kind(&self) -> Kind {
                 match self { $(Packet::$name { .. } => Kind::$name),* }
             }
-            /// Reads the arguments of a packet.
+            /// Parses the arguments of a packet.
             ///
             /// # Errors
-            /// Some are missing. Data that is missing together with its separator counts as empty in the packets
-            /// about a job, since old workers leave both out.
+            /// If arguments are missing. In reports about a job, data that is missing together with its separator counts
+            /// as empty, since old workers omit both.
             pub fn parse(kind: Kind, data: &'a [u8]) -> Result<Packet<'a>, Malformed> {
                 match kind {
                     $(Kind::$name => {
-                        let [$($field),*] = split(data, kind).ok_or(Malformed { kind })?;
+                        let [$($field),*] = split_arguments(data, kind).ok_or(Malformed { kind })?;
                         Ok(Packet::$name { $($field),* })
                     })*
                 }
             }
-            /// Writes it.
+            /// Appends the encoded packet.
             pub fn write(&self, magic: Magic, out: &mut Vec<u8>) {
                 match self {
                     $(Packet::$name { $($field),* } => encode(magic, Kind::$name, &[$($field),*], out)),*
@@ -165,22 +165,22 @@
 }
 
 impl Kind {
-    /// The type with a name of the specification.
+    /// The type with this name in the specification.
     pub fn named(label: &str) -> Option<Kind> {
         Kind::ALL.iter().copied().find(|kind| kind.label() == label)
     }
-    /// Whether a server may receive it.
+    /// Whether a server may receive packets of this type.
     pub fn is_request(self) -> bool {
         self.sender() != Sender::Server
     }
-    /// Old workers end a job without data by its handle alone.
+    /// Whether the data and its separator may be missing: old workers send only the handle if a job has no data.
     fn may_omit_data(self) -> bool {
         matches!(self, Kind::WorkComplete | Kind::WorkException | Kind::WorkData | Kind::WorkWarning)
     }
 }
 
-/// The arguments of a packet of this type; none if some are missing.
-fn split<const N: usize>(data: &[u8], kind: Kind) -> Option<[&[u8]; N]> {
+/// Splits the arguments of a packet of this type. Returns `None` if arguments are missing.
+fn split_arguments<const N: usize>(data: &[u8], kind: Kind) -> Option<[&[u8]; N]> {
     let mut args = [&b""[..]; N];
     let mut rest = data;
     for (index, arg) in args.iter_mut().enumerate() {
@@ -199,20 +199,20 @@
     Some(args)
 }
 
-/// The first [`HEAD`] bytes of a packet with so many bytes of arguments.
-pub fn head(magic: Magic, kind: Kind, size: usize) -> [u8; HEAD] {
-    let mut head = [0; HEAD];
-    head[..4].copy_from_slice(magic.bytes());
-    head[4..8].copy_from_slice(&(kind as u32).to_be_bytes());
-    head[8..].copy_from_slice(&(size as u32).to_be_bytes());
-    head
+/// Encodes the header of a packet with `size` bytes of arguments.
+pub fn encode_header(magic: Magic, kind: Kind, size: usize) -> [u8; HEAD] {
+    let mut header = [0; HEAD];
+    header[..4].copy_from_slice(magic.bytes());
+    header[4..8].copy_from_slice(&(kind as u32).to_be_bytes());
+    header[8..].copy_from_slice(&(size as u32).to_be_bytes());
+    header
 }
 
-/// Appends a packet.
+/// Appends an encoded packet.
 pub fn encode(magic: Magic, kind: Kind, args: &[&[u8]], out: &mut Vec<u8>) {
     let size = args.iter().map(|arg| arg.len()).sum::<usize>() + args.len().saturating_sub(1);
     out.reserve(HEAD + size);
-    out.extend_from_slice(&head(magic, kind, size));
+    out.extend_from_slice(&encode_header(magic, kind, size));
     for (index, arg) in args.iter().enumerate() {
         if index > 0 {
             out.push(0);
@@ -221,14 +221,14 @@
     }
 }
 
-/// A packet as bytes.
+/// Encodes a packet.
 pub fn packet(magic: Magic, kind: Kind, args: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::new();
     encode(magic, kind, args, &mut out);
     out
 }
 
-/// A whole number in an argument, as decimal digits.
+/// Parses an argument that is an integer in decimal digits.
 pub fn number(arg: &[u8]) -> Option<u64> {
     std::str::from_utf8(arg).ok()?.trim().parse().ok()
 }
--- a/crates/gearman/src/peer_stream.rs
+++ b/crates/gearman/src/peer_stream.rs
@@ -1,21 +1,21 @@
-//! What the client's and the worker's side of a connection share: a decoder, bytes to be written, events to be read.
+//! The common part of the client and worker state machines: a decoder, an output buffer and a queue of events.
 
 use crate::decode::{DecodeError, Decoder, Frame, Limits};
 use crate::packet::{Kind, Magic, encode};
 use std::collections::VecDeque;
 
-/// Largest packet that a client or a worker accepts, in bytes.
-const MAX_PACKET: usize = 64 << 20;
+/// Maximum size of a packet's arguments that a client or a worker accepts, in bytes.
+const MAX_PACKET_BYTES: usize = 64 << 20;
 
-/// One side of a connection to a server, with events of type `E`.
+/// The stream state of a connection to a server, with events of type `E`.
 pub(crate) struct PeerStream<E> {
     decoder: Decoder,
-    /// Bytes to be written.
+    /// Bytes to be sent.
     pub output: Vec<u8>,
     events: VecDeque<E>,
 }
 
-/// A packet of a server: its type and its arguments.
+/// A packet from a server: its type and its undecoded arguments.
 pub(crate) struct ReceivedPacket {
     pub kind: Kind,
     pub data: Vec<u8>,
@@ -24,7 +24,7 @@
 impl<E> PeerStream<E> {
     pub fn new() -> PeerStream<E> {
         PeerStream {
-            decoder: Decoder::new(Magic::Res, Limits { packet: MAX_PACKET, line: 0 }),
+            decoder: Decoder::new(Magic::Res, Limits { packet: MAX_PACKET_BYTES, line: 0 }),
             output: Vec::new(),
             events: VecDeque::new(),
         }
@@ -42,7 +42,7 @@
         self.decoder.feed(bytes);
     }
 
-    /// The next packet that is complete. Packets of unknown types are passed over.
+    /// The next complete packet. Packets of unassigned types are ignored.
     pub fn next_packet(&mut self) -> Result<Option<ReceivedPacket>, DecodeError> {
         while let Some(frame) = self.decoder.next_frame()? {
             if let Frame::Packet(kind, data) = frame {
--- a/crates/gearman/src/server.rs
+++ b/crates/gearman/src/server.rs
@@ -1,56 +1,56 @@
-//! What a server knows of a connection that may be a worker's: its functions, whether it sleeps, and its job.
+//! A server's state of a connection that may be a worker's: its functions, whether it sleeps, and its job.
 //!
-//! A worker has at most one job. It is *reserved* for the worker until that grabs it; from then on the worker *runs* it
-//! until it says how it ended, or disconnects. Whether the server abandons a job meanwhile is the server's business: a
-//! worker that has not said how its job ended gets no other.
+//! A worker has at most one job. The job is *reserved* for the worker until the worker grabs it. From then on the worker
+//! *runs* the job until it reports the job's end or disconnects. The server may abandon the job in the meantime, but the
+//! worker gets no other job until it has reported the end of this one.
 
 use crate::packet::Kind;
 use std::collections::BTreeMap;
 
-/// Microseconds on the caller's clock.
+/// A time on the caller's clock, or a duration, in microseconds.
 pub type Micros = i64;
 
 /// The result of reserving a job for a worker.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reservation<J> {
-    /// The worker sleeps: wake it with a NOOP.
+    /// Reserved. The worker was sleeping: wake it with a NOOP.
     WakeUp,
-    /// The worker is awake and will grab the job.
+    /// Reserved. The worker is awake and will grab the job.
     Awake,
-    /// The worker has sent this grab packet and waits for its answer: [grab](Worker::grab) the job for it now.
+    /// Reserved. The worker waits for the response to this grab packet: call [`Worker::grab`] for it now.
     Grabbing(Kind),
-    /// Not reserved: the worker has a job, is unresponsive, or does not take the function.
+    /// Not reserved: the worker has a job, is unresponsive, or has not registered the function.
     Unavailable(J),
     /// Not reserved: the worker has disconnected.
     Disconnected(J),
 }
 
-/// What has timed out.
+/// A timeout.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Expiry<J> {
-    /// The worker has not grabbed this job, which has not run.
+    /// The worker has not grabbed the job reserved for it, which has not run.
     NotGrabbed(J),
-    /// The worker has not ended this job within its time limit; it may have run.
+    /// The worker has not reported the end of this job within its time limit; the job may have run.
     NotFinished(J),
-    /// The worker waits for the answer to a grab packet, and there is no job for it.
+    /// No job was found for the pending grab packet of the worker: respond with NO_JOB.
     NoJob,
 }
 
-/// What a worker's report about the end of a job refers to.
+/// The job that a worker's report of the end of a job refers to.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Finish<J> {
-    /// The job that it runs.
+    /// The job that the worker was running.
     Running(J),
-    /// A job that the server has abandoned: the report has no effect, but the worker is free.
+    /// A job that the server has abandoned: the report has no effect, except that the worker is free again.
     Abandoned,
-    /// No job that it has.
+    /// No job of the worker.
     Unknown,
 }
 
-/// What a worker had when it disconnected.
+/// The functions and jobs of a worker that has disconnected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Disconnected<F, J> {
-    /// The functions that it ever registered.
+    /// All functions that it has ever registered.
     pub functions: Vec<F>,
     /// The job that was reserved for it, which has not run.
     pub reserved: Option<J>,
@@ -62,33 +62,34 @@
 struct Assignment<F, J> {
     function: F,
     job: J,
-    /// When it must be grabbed, or ended; none without a limit.
+    /// Deadline for grabbing the job, or for ending it; none without a limit.
     deadline: Option<Micros>,
 }
 
-/// What the worker runs.
+/// The job that the worker runs.
 #[derive(Debug)]
 struct Running<F, J> {
     handle: Vec<u8>,
-    /// None once the server has abandoned it.
+    /// `None` once the server has abandoned the job.
     assignment: Option<Assignment<F, J>>,
 }
 
-/// A grab packet whose answer is delayed.
+/// A grab packet whose response is delayed.
 #[derive(Clone, Copy, Debug)]
 struct PendingGrab {
     kind: Kind,
     answer_by: Micros,
 }
 
-/// The workers' half of a connection. `F` is the type of functions, `J` that of jobs.
+/// The worker state of a connection. `F` is the type of functions, `J` that of jobs.
 #[derive(Debug)]
 pub struct Worker<F, J> {
     functions: BTreeMap<F, Registration>,
     registered_at: Option<Micros>,
     is_asleep: bool,
     is_disconnected: bool,
-    /// It did not grab a job after it was woken: nothing is reserved for it until it sends something of its own.
+    /// It did not grab its reserved job in time; no job is reserved for it until it sends CAN_DO, PRE_SLEEP or a grab
+    /// packet.
     is_unresponsive: bool,
     reserved: Option<Assignment<F, J>>,
     pending_grab: Option<PendingGrab>,
@@ -117,12 +118,12 @@
 }
 
 impl<F: Copy + Ord, J> Worker<F, J> {
-    /// Whether it has ever registered a function.
+    /// Whether it has ever registered a function, which makes the connection a worker.
     pub fn is_worker(&self) -> bool {
         !self.functions.is_empty()
     }
 
-    /// Whether it did not grab a job after it was woken, and has sent nothing of its own since.
+    /// Whether it did not grab its reserved job in time, and has not sent CAN_DO, PRE_SLEEP or a grab packet since.
     pub fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
@@ -137,7 +138,7 @@
         self.registered_at
     }
 
-    /// The functions that it takes.
+    /// The functions that it has registered.
     pub fn able(&self) -> impl Iterator<Item = F> + '_ {
         self.functions
             .iter()
@@ -145,13 +146,13 @@
             .map(|(function, _)| *function)
     }
 
-    /// Whether a job of a function could be reserved for it.
+    /// Whether a job of this function can be reserved for it.
     pub fn is_free_for(&self, function: F) -> bool {
-        let is_able = self.functions.get(&function).is_some_and(|registration| registration.is_active);
-        is_able && !self.is_disconnected && !self.is_unresponsive && !self.is_engaged()
+        let is_registered = self.functions.get(&function).is_some_and(|registration| registration.is_active);
+        is_registered && !self.is_disconnected && !self.is_unresponsive && !self.is_engaged()
     }
 
-    /// The function of its reserved or running job; none if that was abandoned.
+    /// The function of its reserved or running job; none if the job was abandoned.
     pub fn engaged_in(&self) -> Option<F> {
         self.reserved.as_ref().or(self.running_assignment()).map(|assignment| assignment.function)
     }
@@ -160,15 +161,15 @@
         self.running.as_ref()?.assignment.as_ref()
     }
 
-    /// CAN_DO or CAN_DO_TIMEOUT: it takes a function from now on, each job for at most `time_limit`.
+    /// Handles CAN_DO and CAN_DO_TIMEOUT: registers a function. Each of its jobs may run for at most `time_limit`.
     pub fn can_do(&mut self, function: F, time_limit: Option<Micros>, now: Micros) {
         self.registered_at.get_or_insert(now);
         self.is_unresponsive = false;
         self.functions.insert(function, Registration { is_active: true, time_limit });
     }
 
-    /// CANT_DO: it takes a function no more. Returns the job of the function that was reserved for it, if any; `None` if
-    /// it did not take the function.
+    /// Handles CANT_DO: unregisters a function. Returns the reserved job of the function, if any, or `None` if the
+    /// function was not registered.
     pub fn cant_do(&mut self, function: F) -> Option<Option<J>> {
         let registration = self.functions.get_mut(&function)?;
         if !registration.is_active {
@@ -179,7 +180,7 @@
         Some(reserved.map(|reserved| reserved.job))
     }
 
-    /// Reserves a job for it, to be grabbed by a time.
+    /// Reserves a job for it, which it must grab by `grab_by`.
     pub fn reserve(&mut self, function: F, job: J, grab_by: Micros) -> Reservation<J> {
         if self.is_disconnected {
             return Reservation::Disconnected(job);
@@ -203,21 +204,22 @@
         self.reserved.as_ref().map(|reserved| &reserved.job)
     }
 
-    /// Takes back the reserved job if it is the one.
-    pub fn cancel_reservation(&mut self, is_it: impl Fn(&J) -> bool) -> Option<J> {
-        let reserved = self.reserved.take_if(|reserved| is_it(&reserved.job))?;
+    /// Cancels the reservation if `is_match` holds for the reserved job, and returns the job.
+    pub fn cancel_reservation(&mut self, is_match: impl Fn(&J) -> bool) -> Option<J> {
+        let reserved = self.reserved.take_if(|reserved| is_match(&reserved.job))?;
         Some(reserved.job)
     }
 
-    /// Abandons the running job if it is the one. The worker is busy until it says how that ended.
-    pub fn abandon(&mut self, is_it: impl Fn(&J) -> bool) -> Option<J> {
+    /// Abandons the running job if `is_match` holds for it, and returns the job. The worker stays busy until it
+    /// reports the end of the job.
+    pub fn abandon(&mut self, is_match: impl Fn(&J) -> bool) -> Option<J> {
         let running = self.running.as_mut()?;
-        let assignment = running.assignment.take_if(|assignment| is_it(&assignment.job))?;
+        let assignment = running.assignment.take_if(|assignment| is_match(&assignment.job))?;
         Some(assignment.job)
     }
 
-    /// GRAB_JOB, while nothing is reserved for it but something may be soon: the answer is delayed until a time. False
-    /// where it has a job or already waits for an answer: answer NO_JOB then.
+    /// Handles a grab packet when no job is reserved for it but one may be soon: delays the response until `answer_by`
+    /// at the latest. Returns false if it has a job or already waits for a response: respond with NO_JOB then.
     pub fn wait_for_job(&mut self, kind: Kind, answer_by: Micros) -> bool {
         self.is_asleep = false;
         self.is_unresponsive = false;
@@ -228,15 +230,15 @@
         true
     }
 
-    /// PRE_SLEEP: it sleeps until it is woken. True if a job was reserved for it meanwhile: wake it at once.
+    /// Handles PRE_SLEEP: it sleeps until it is woken. Returns true if a job has been reserved for it: wake it at once.
     pub fn pre_sleep(&mut self) -> bool {
         self.is_unresponsive = false;
         self.is_asleep = self.reserved.is_none();
         !self.is_asleep
     }
 
-    /// GRAB_JOB: it runs the job that is reserved for it from now on, under a handle. None if nothing is reserved, or if
-    /// it has not said how its last job ended.
+    /// Handles a grab packet: it runs its reserved job from now on, under the handle that `handle` returns. Returns
+    /// `None` if no job is reserved, or if it has not reported the end of its last job.
     pub fn grab(&mut self, now: Micros, handle: impl FnOnce(&J) -> Vec<u8>) -> Option<&J> {
         self.is_asleep = false;
         self.is_unresponsive = false;
@@ -251,7 +253,7 @@
         running.assignment.as_ref().map(|assignment| &assignment.job)
     }
 
-    /// The job that it runs under a handle; none if that was abandoned.
+    /// The job that it runs under this handle; none if the job was abandoned.
     pub fn running(&self, handle: &[u8]) -> Option<&J> {
         let running = self.running.as_ref()?;
         if running.handle != handle {
@@ -260,7 +262,7 @@
         running.assignment.as_ref().map(|assignment| &assignment.job)
     }
 
-    /// The job that it runs under a handle, to be changed; none if that was abandoned.
+    /// The job that it runs under this handle, as a mutable reference; none if the job was abandoned.
     pub fn running_mut(&mut self, handle: &[u8]) -> Option<&mut J> {
         let running = self.running.as_mut()?;
         if running.handle != handle {
@@ -269,13 +271,13 @@
         running.assignment.as_mut().map(|assignment| &mut assignment.job)
     }
 
-    /// Ends the job that it runs, under whatever handle. Returns it unless it was abandoned.
+    /// Removes the job that it runs, whatever its handle. Returns the job unless it was abandoned.
     pub fn take_running(&mut self) -> Option<J> {
         let assignment = self.running.take()?.assignment?;
         Some(assignment.job)
     }
 
-    /// WORK_COMPLETE or WORK_FAIL: the job under a handle has ended.
+    /// Handles WORK_COMPLETE and WORK_FAIL: the job with this handle has ended.
     pub fn finish(&mut self, handle: &[u8]) -> Finish<J> {
         let Some(running) = self.running.take_if(|running| running.handle == handle) else {
             return Finish::Unknown;
@@ -286,7 +288,7 @@
         }
     }
 
-    /// When [`expire`](Worker::expire) next has something to do.
+    /// The next time at which [`expire`](Worker::expire) must be called.
     pub fn next_deadline(&self) -> Option<Micros> {
         let reserved = self.reserved.as_ref().and_then(|reserved| reserved.deadline);
         let running = self.running_assignment().and_then(|assignment| assignment.deadline);
@@ -294,22 +296,22 @@
         reserved.or(running).or(pending_grab)
     }
 
-    /// What has timed out, if anything.
+    /// Handles the next timeout that is due, if any.
     pub fn expire(&mut self, now: Micros) -> Option<Expiry<J>> {
-        let is_late =
+        let is_overdue =
             |assignment: &mut Assignment<F, J>| assignment.deadline.is_some_and(|deadline| deadline <= now);
-        if let Some(reserved) = self.reserved.take_if(is_late) {
+        if let Some(reserved) = self.reserved.take_if(is_overdue) {
             self.is_unresponsive = true;
             return Some(Expiry::NotGrabbed(reserved.job));
         }
         if self.pending_grab.take_if(|pending| pending.answer_by <= now).is_some() {
             return Some(Expiry::NoJob);
         }
-        let late = self.running.as_mut()?.assignment.take_if(is_late)?;
-        Some(Expiry::NotFinished(late.job))
+        let overdue = self.running.as_mut()?.assignment.take_if(is_overdue)?;
+        Some(Expiry::NotFinished(overdue.job))
     }
 
-    /// The connection has ended.
+    /// Handles the end of the connection. Returns its functions and jobs.
     pub fn disconnect(&mut self) -> Disconnected<F, J> {
         self.is_disconnected = true;
         Disconnected {
--- a/crates/gearman/src/submit.rs
+++ b/crates/gearman/src/submit.rs
@@ -1,4 +1,4 @@
-//! The ten ways to submit a job, as one record.
+//! The ten packet types that submit a job, as one struct.
 
 use crate::packet::{Kind, Magic, Packet, encode, number};
 use std::fmt;
@@ -8,7 +8,7 @@
 pub enum Priority {
     /// Served before all others.
     High,
-    /// The ordinary one.
+    /// The default priority.
     #[default]
     Normal,
     /// Served after all others.
@@ -16,19 +16,19 @@
 }
 
 impl Priority {
-    /// All of them, in the order in which they are served.
+    /// All priorities, in the order in which they are served.
     pub const ALL: [Priority; 3] = [Priority::High, Priority::Normal, Priority::Low];
 }
 
 /// When a job may start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum When {
-    /// At once.
+    /// Immediately.
     #[default]
     Now,
     /// Not before this many seconds since the Unix epoch.
     Epoch(u64),
-    /// At the next minute that matches; a field without a value matches always.
+    /// At the next minute that matches all fields; a field without a value matches any value.
     Sched {
         /// 0 to 59.
         minute: Option<u8>,
@@ -43,31 +43,32 @@
     },
 }
 
-/// A job as it is submitted.
+/// The submission of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Submission<'a> {
     /// The function that is to run it.
     pub function: &'a [u8],
-    /// Its unique id: submissions with the same one are the same job. `-` stands for the data itself; empty for none.
+    /// Its unique id: submissions of a function with the same id are joined to one job. `-` stands for the data itself;
+    /// empty for none.
     pub unique: &'a [u8],
     /// Its priority.
     pub priority: Priority,
-    /// Whether nobody waits for its result.
+    /// Whether the job is a background job, for whose result no client waits.
     pub background: bool,
     /// When it may start.
     pub when: When,
-    /// The function that is to reduce its results, of a reduce job.
+    /// For a reduce job, the function that reduces its results.
     pub reducer: Option<&'a [u8]>,
     /// Its data.
     pub data: &'a [u8],
 }
 
-/// Why a submission is invalid.
+/// The reason for which a packet is not a valid submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invalid {
-    /// The packet is of another type.
+    /// The packet type does not submit a job.
     Kind,
-    /// The scheduled time is no number, or out of range.
+    /// The scheduled time is not a number or out of range.
     Time,
 }
 
@@ -83,7 +84,7 @@
 impl std::error::Error for Invalid {}
 
 impl<'a> Submission<'a> {
-    /// A foreground job of normal priority.
+    /// Creates the submission of a foreground job of normal priority.
     pub fn new(function: &'a [u8], unique: &'a [u8], data: &'a [u8]) -> Submission<'a> {
         Submission {
             function,
@@ -96,10 +97,10 @@
         }
     }
 
-    /// Reads it from a packet.
+    /// Converts a packet into a submission.
     ///
     /// # Errors
-    /// The packet submits nothing, or its scheduled time is invalid.
+    /// If the packet type does not submit a job, or its scheduled time is invalid.
     pub fn read(packet: &Packet<'a>) -> Result<Submission<'a>, Invalid> {
         use Packet as P;
         Ok(match *packet {
@@ -129,11 +130,11 @@
             }
             P::SubmitJobSched { function, unique, minute, hour, day, month, weekday, data } => {
                 let when = When::Sched {
-                    minute: calendar_field(minute, 0, 59)?,
-                    hour: calendar_field(hour, 0, 23)?,
-                    day: calendar_field(day, 1, 31)?,
-                    month: calendar_field(month, 1, 12)?,
-                    weekday: calendar_field(weekday, 0, 6)?,
+                    minute: parse_calendar_field(minute, 0, 59)?,
+                    hour: parse_calendar_field(hour, 0, 23)?,
+                    day: parse_calendar_field(day, 1, 31)?,
+                    month: parse_calendar_field(month, 1, 12)?,
+                    weekday: parse_calendar_field(weekday, 0, 6)?,
                 };
                 Submission { when, ..Submission::new_background(function, unique, data) }
             }
@@ -149,8 +150,8 @@
         Submission { priority, ..self }
     }
 
-    /// The type of its packet. A job with a scheduled time or a reducer has no priority, and one with a scheduled time is a
-    /// background job.
+    /// The type of the packet that submits the job. There are no packet types with a priority for scheduled jobs and
+    /// reduce jobs, and scheduled jobs are always background jobs.
     pub fn kind(&self) -> Kind {
         match (self.when, self.reducer, self.background, self.priority) {
             (When::Epoch(_), ..) => Kind::SubmitJobEpoch,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Appends its packet, as a client sends it.
+    /// Appends the encoded packet, as a client sends it.
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut args = vec![self.function, self.unique];
         let schedule = schedule_args(&self.when);
@@ -179,7 +180,7 @@
     }
 }
 
-/// The arguments of a scheduled time.
+/// Encodes a scheduled time as arguments.
 fn schedule_args(when: &When) -> Vec<String> {
     match when {
         When::Now => Vec::new(),
@@ -192,13 +193,13 @@
     }
 }
 
-/// A field of a scheduled time. Empty, `*` and `-1` match always.
-fn calendar_field(arg: &[u8], least: u8, most: u8) -> Result<Option<u8>, Invalid> {
+/// Parses a field of a scheduled time. Empty, `*` and `-1` match any value.
+fn parse_calendar_field(arg: &[u8], min: u8, max: u8) -> Result<Option<u8>, Invalid> {
     if matches!(arg, b"" | b"*" | b"-1") {
         return Ok(None);
     }
     let value = number(arg).and_then(|value| u8::try_from(value).ok()).ok_or(Invalid::Time)?;
-    if !(least..=most).contains(&value) {
+    if !(min..=max).contains(&value) {
         return Err(Invalid::Time);
     }
     Ok(Some(value))
--- a/crates/gearman/src/worker.rs
+++ b/crates/gearman/src/worker.rs
@@ -1,43 +1,43 @@
-//! A worker's side of a connection: registers functions, sleeps, wakes up, grabs jobs and ends them.
+//! The worker side of a connection: registers functions, sleeps, is woken, grabs jobs and reports their end.
 
 use crate::decode::DecodeError;
 use crate::packet::{Kind, Packet};
 use crate::peer_stream::{PeerStream, ReceivedPacket};
 
-/// A job that was assigned.
+/// An assigned job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Job {
     /// Its handle.
     pub handle: Vec<u8>,
     /// The function to run.
     pub function: Vec<u8>,
-    /// Its unique id, after GRAB_JOB_UNIQ and GRAB_JOB_ALL; else empty.
+    /// Its unique id after GRAB_JOB_UNIQ and GRAB_JOB_ALL; otherwise empty.
     pub unique: Vec<u8>,
-    /// Its reducer, after GRAB_JOB_ALL; else empty.
+    /// Its reducer after GRAB_JOB_ALL; otherwise empty.
     pub reducer: Vec<u8>,
     /// Its data.
     pub data: Vec<u8>,
 }
 
-/// What a worker receives.
+/// An event that a worker receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A job, to be ended by [`Worker::complete`] or [`Worker::fail`].
+    /// An assigned job, to be ended with [`Worker::complete`] or [`Worker::fail`].
     Assigned(Job),
-    /// An error of the server: code and text.
+    /// An error from the server: its code and text.
     Error(Vec<u8>, Vec<u8>),
-    /// Any other packet: its type and its arguments.
+    /// Any other packet: its type and arguments.
     Answer(Kind, Vec<u8>),
 }
 
-/// The state machine. It grabs when it is woken and after each job, and sleeps when there is none.
+/// The state machine of a worker. It grabs a job when it is woken and after each job, and sleeps when there is no job.
 pub struct Worker {
     stream: PeerStream<Event>,
     grab_kind: Kind,
 }
 
 impl Worker {
-    /// A worker that grabs by GRAB_JOB, GRAB_JOB_UNIQ or GRAB_JOB_ALL.
+    /// Creates a worker that grabs jobs with this packet: GRAB_JOB, GRAB_JOB_UNIQ or GRAB_JOB_ALL.
     pub fn new(grab_kind: Kind) -> Worker {
         Worker { stream: PeerStream::new(), grab_kind }
     }
@@ -57,19 +57,19 @@
         self.send(self.grab_kind, &[]);
     }
 
-    /// Ends a job with its result and grabs the next.
+    /// Completes a job with its result and grabs the next one.
     pub fn complete(&mut self, handle: &[u8], data: &[u8]) {
         self.send(Kind::WorkComplete, &[handle, data]);
         self.grab();
     }
 
-    /// Ends a job as failed and grabs the next.
+    /// Reports the failure of a job and grabs the next one.
     pub fn fail(&mut self, handle: &[u8]) {
         self.send(Kind::WorkFail, &[handle]);
         self.grab();
     }
 
-    /// Takes the bytes that are to be written.
+    /// Takes the bytes to be sent.
     pub fn take_output(&mut self) -> Vec<u8> {
         self.stream.take_output()
     }
@@ -77,7 +77,7 @@
     /// Handles received bytes.
     ///
     /// # Errors
-    /// They are no packets of a server.
+    /// If they are not valid packets of a server.
     pub fn input(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
         self.stream.feed(bytes);
         while let Some(packet) = self.stream.next_packet()? {
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// The next event.
+    /// Returns the next event, if any.
     pub fn poll(&mut self) -> Option<Event> {
         self.stream.next_event()
     }
