--- a/crates/backlog/src/completion.rs
+++ b/crates/backlog/src/completion.rs
@@ -32,7 +32,7 @@
         let may_requeue = may_wait && may_repeat && now < job.wait_deadline;
         let is_requeued = match ending {
             Ending::Served => false,
-            // If any attempt has run, the worker itself has reported the failure, which is final.
+            // A failure is final unless no worker ever ran the job: otherwise the worker itself has reported it.
             Ending::Failed => may_requeue && job.attempts == 0,
             Ending::Rejected | Ending::TimedOut => may_requeue,
         };
