--- a/crates/rig/src/ledger/cold_load.rs
+++ b/crates/rig/src/ledger/cold_load.rs
@@ -1,4 +1,4 @@
-//! The load on workers that warm up.
+//! Load on workers that are warming up, relative to their budgets.
 
 use super::{Observation, WarmUp};
 use crate::time::Micros;
@@ -7,30 +7,30 @@
 /// The highest load on a worker that was warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeakColdLoad {
-    /// Jobs that it received in one span, over its budget for that span.
+    /// Jobs received in one window, divided by the budget for that window.
     pub share_of_budget: f64,
     /// The worker.
     pub worker: usize,
-    /// The end of the span.
+    /// The end of the window.
     pub at: Micros,
 }
 
-/// A worker that warms up.
+/// A worker that is warming up.
 struct WarmingWorker {
     started_at: Micros,
     warm_up: WarmUp,
 }
 
 impl WarmingWorker {
-    /// Its budget in jobs for a span that begins at a time.
-    fn budget(&self, span_start: Micros) -> f64 {
-        let age = (span_start - self.started_at).max(0) as f64;
+    /// The budget, in jobs, for a window that begins at `window_start`.
+    fn budget(&self, window_start: Micros) -> f64 {
+        let age = (window_start - self.started_at).max(0) as f64;
         let progress = age / self.warm_up.duration as f64;
         self.warm_up.cold_budget + (self.warm_up.warm_budget - self.warm_up.cold_budget) * progress
     }
 }
 
-/// The highest share of its budget that a worker received in any span of the length `window` while it warmed up.
+/// The highest share of its budget that any worker received in any period of length `window` during its warm-up.
 pub(super) fn peak(observations: &[(Micros, Observation)], window: Micros) -> Option<PeakColdLoad> {
     let mut warming: HashMap<usize, WarmingWorker> = HashMap::new();
     let mut received: HashMap<usize, Vec<Micros>> = HashMap::new();
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,9 +1,9 @@
-//! The test rig: real dispatchers as processes, each at an address of its own in 127/8, and around them a list service,
-//! workers and clients as stand-ins, with faults between them. What the stand-ins observe goes into a ledger, and the rules
-//! are checked against that alone, never against a dispatcher's own figures.
+//! Test rig that runs real dispatchers as processes, each at its own address in 127/8, against a simulated list service,
+//! workers and clients (the stand-ins), and injects faults between them. The stand-ins record their observations in a
+//! ledger; the rules are checked against the ledger alone, never against a dispatcher's own metrics.
 //!
-//! All participants but two dispatchers communicate through a stand-in, so the rig controls each of these links without a
-//! relay between: [`links`] says what passes. Loopback only; no process is left when a [`run::Run`] ends.
+//! Every link except those between two dispatchers has a stand-in at one end, which applies the link's faults itself, so
+//! no relay is needed: see [`links`]. The rig uses loopback only, and no process outlives its [`run::Run`].
 
 pub mod clairvoyant;
 pub mod clients;
--- a/crates/rig/src/report/tally.rs
+++ b/crates/rig/src/report/tally.rs
@@ -1,13 +1,13 @@
-//! Counts over a ledger.
+//! Counts of the observations of a ledger.
 
 use crate::ledger::{Ledger, Observation, RequestEnd};
 use crate::time::{Micros, SECOND};
 use std::collections::HashMap;
 
-/// Length of a span of arrivals, in microseconds.
-const SPAN: Micros = 5 * SECOND;
+/// Length of the spans by which arrivals are grouped, in microseconds.
+const SPAN_LENGTH: Micros = 5 * SECOND;
 
-/// Requests that arrived in a span.
+/// Counts of the requests that arrived in one span.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Span {
     arrived: usize,
@@ -15,47 +15,47 @@
 }
 
 impl Span {
-    /// The share that was served in time; 0 without requests.
+    /// The share that was served in time; 0 if none arrived.
     pub(super) fn share_in_time(self) -> f64 {
         self.in_time as f64 / self.arrived.max(1) as f64
     }
 }
 
-/// Connections at a worker.
+/// Connections of one worker.
 #[derive(Default)]
 struct WorkerConnections {
-    /// When those of the last second were established.
+    /// When the connections of the last second were established.
     recent: Vec<Micros>,
     open: usize,
 }
 
-/// Counts over a ledger.
+/// Counts of the observations of a ledger.
 #[derive(Default)]
 pub(super) struct Tally {
     pub(super) calls: usize,
     pub(super) failed_calls: usize,
     pub(super) longest_queue: usize,
-    /// When each dispatcher was started that has not received a list since.
+    /// Start times of the dispatchers that have not received a list since their start.
     pub(super) waiting_for_list: HashMap<usize, Micros>,
-    /// Times from a start to the first list, in microseconds, sorted.
+    /// Times from a start to the first list, in microseconds, in ascending order.
     pub(super) first_lists: Vec<Micros>,
     connections: HashMap<usize, WorkerConnections>,
     pub(super) peak_handshakes_per_s: usize,
     pub(super) peak_open_connections: usize,
-    /// Attempts by [`RequestEnd::key`].
+    /// Numbers of attempts, by [`RequestEnd::key`].
     pub(super) request_ends: HashMap<String, usize>,
-    /// Served, rejected and other attempts that ended in each second.
+    /// Attempts that ended in each second: served, rejected and others.
     pub(super) by_second: Vec<[usize; 3]>,
     /// Requests by the span in which they arrived.
     pub(super) spans: Vec<Span>,
-    /// When requests arrived.
+    /// Arrival times of all requests.
     pub(super) arrivals: Vec<Micros>,
-    /// By worker: when it was last started; none: before the run.
+    /// Time of the last start of each worker; `None` if it was started before the run.
     pub(super) worker_starts: Vec<Option<Micros>>,
 }
 
 impl Tally {
-    pub(super) fn of(ledger: &Ledger, workers: usize) -> Tally {
+    pub(super) fn from_ledger(ledger: &Ledger, workers: usize) -> Tally {
         let mut tally = Tally { worker_starts: vec![None; workers], ..Tally::default() };
         for (now, observation) in &ledger.0 {
             tally.count(*now, observation);
@@ -64,7 +64,7 @@
         tally
     }
 
-    /// All spans together.
+    /// The sum of all spans.
     pub(super) fn all_spans(&self) -> Span {
         let mut all = Span::default();
         for span in &self.spans {
@@ -96,7 +96,7 @@
                     connections.open -= 1;
                 }
             }
-            Observation::RequestEnded(_, end) => self.count_end(now, *end),
+            Observation::RequestEnded(_, end) => self.count_attempt_end(now, *end),
             Observation::RequestCompleted { arrived, in_time } => self.count_request(*arrived, *in_time),
             _ => {}
         }
@@ -111,7 +111,7 @@
         self.peak_open_connections = self.peak_open_connections.max(connections.open);
     }
 
-    fn count_end(&mut self, now: Micros, end: RequestEnd) {
+    fn count_attempt_end(&mut self, now: Micros, end: RequestEnd) {
         *self.request_ends.entry(end.key().to_owned()).or_insert(0) += 1;
         let second = (now / SECOND) as usize;
         if self.by_second.len() <= second {
@@ -127,7 +127,7 @@
 
     fn count_request(&mut self, arrived: Micros, in_time: bool) {
         self.arrivals.push(arrived);
-        let number = (arrived / SPAN) as usize;
+        let number = (arrived / SPAN_LENGTH) as usize;
         if self.spans.len() <= number {
             self.spans.resize(number + 1, Span::default());
         }
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -1,8 +1,8 @@
-//! How the cost of a dispatcher grows with the number of workers: real dispatchers beside a list of thousands of
-//! workers, of which each has an entry in the list and an address that answers, and no more.
+//! Measures how the cost of a dispatcher grows with the number of workers. Real dispatchers run against a list of
+//! thousands of simulated workers, each with only an entry in the list and an address that answers.
 //!
-//! [`plan`] checks the arguments, [`trial`] measures one size, [`report`] puts the sizes together and fits a line
-//! to each figure, [`table`] and [`chart`] show it.
+//! [`plan`] validates the arguments, [`trial`] measures one size, [`report`] combines the sizes and fits a line to each
+//! figure, [`table`] and [`chart`] render the result.
 
 pub mod admin;
 pub mod chart;
@@ -28,22 +28,22 @@
 use thiserror::Error;
 use trial_error::TrialError;
 
-/// Stack of a coroutine, in words.
-const STACK_WORDS: usize = 4 * 1024;
+/// Stack size of a coroutine, in words.
+const COROUTINE_STACK_WORDS: usize = 4 * 1024;
 
-/// Why a measurement cannot go on.
+/// Why a measurement was aborted.
 #[derive(Debug, Error)]
 pub enum MeasureError {
-    /// The trial of a size cannot go on.
-    #[error("{workers} workers")]
+    /// The trial of a size was aborted.
+    #[error("trial with {workers} workers was aborted")]
     Trial {
-        /// The size.
+        /// Number of workers of the trial.
         workers: usize,
-        /// Why not.
+        /// Why it was aborted.
         source: TrialError,
     },
-    /// The figures cannot be written as JSON.
-    #[error("the figures cannot be written as JSON")]
+    /// The report cannot be serialized to JSON.
+    #[error("cannot serialize the report to JSON")]
     Json(#[from] serde_json::Error),
     /// The chart cannot be drawn.
     #[error(transparent)]
@@ -53,17 +53,17 @@
     File(#[from] FileError),
 }
 
-/// Measures every size of a plan, one after another, and writes the files that it names; `on_row` gets each row as soon as
+/// Measures the sizes of a plan one after another and writes the output files. `on_row` is called with each row as soon as
 /// it is measured.
 ///
 /// # Errors
 ///
-/// A trial cannot go on, or a file cannot be written.
+/// A trial is aborted, or a file cannot be written.
 pub fn measure(plan: &Plan, on_row: impl Fn(&Row)) -> Result<Report, MeasureError> {
     crate::net::raise_limits();
-    may::config().set_stack_size(STACK_WORDS);
+    may::config().set_stack_size(COROUTINE_STACK_WORDS);
     let mut rows_by_size: Vec<Vec<Row>> = vec![Vec::new(); plan.sizes.len()];
-    // Size after size in each repetition: other load of the machine affects all of them.
+    // Each repetition measures all sizes, so that other load on the machine affects all of them alike.
     for _ in 0..plan.repetitions {
         for (workers, rows) in plan.sizes.iter().zip(&mut rows_by_size) {
             let row = trial::measure(plan, *workers)
--- a/crates/rig/src/scale/admin.rs
+++ b/crates/rig/src/scale/admin.rs
@@ -1,35 +1,35 @@
-//! A dispatcher's own figures, from its admin address.
+//! Reads a dispatcher's metrics from its admin address.
 
 use serde::Deserialize;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a connection and an answer may take.
+/// Time limit for connecting, and for the response.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The part of the answer to `METRICS` that is used.
+/// The part of the response to `METRICS` that the rig uses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Metrics {
-    /// Workers in the list.
+    /// Number of workers in the dispatcher's list.
     pub cluster_size: usize,
-    /// The progress of its start.
-    pub start: Start,
+    /// Progress of the dispatcher's start.
+    pub start: StartProgress,
 }
 
-/// The progress of a dispatcher's start.
+/// Progress of a dispatcher's start.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Start {
-    /// Seconds from its start to its first list.
+pub struct StartProgress {
+    /// Seconds from the start to the first list; `None` before.
     pub confirmed_after_s: Option<f64>,
 }
 
-/// Reads a dispatcher's figures.
+/// Reads a dispatcher's metrics.
 ///
 /// # Errors
 ///
-/// It does not answer within a second, or not with the JSON that is expected.
-pub fn metrics(admin: SocketAddr) -> io::Result<Metrics> {
+/// The dispatcher does not respond within a second, or the response is not JSON of the expected form.
+pub fn fetch_metrics(admin: SocketAddr) -> io::Result<Metrics> {
     let mut stream = TcpStream::connect_timeout(&admin, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.write_all(b"METRICS\n")?;
--- a/crates/rig/src/scale/figure.rs
+++ b/crates/rig/src/scale/figure.rs
@@ -1,54 +1,54 @@
-//! The figures that are measured at each size.
+//! Figures that are measured at each size.
 
 use serde::{Deserialize, Serialize};
 
-/// What is measured. Processor time, memory and descriptors are those of a dispatcher as the system counts them; bytes
-/// and connections are counted by the stand-ins at the other end.
+/// A measured quantity. Processor time, memory and descriptors of the dispatchers are read from the operating system;
+/// bytes and connections are counted by the stand-ins at the other end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Figure {
-    /// Processor time with the list watched and no requests, as a share of a core in percent; the mean.
+    /// Processor time without requests, while the list is watched, in percent of a core; mean of all dispatchers.
     IdleProcessor,
-    /// Processor time of a request in microseconds, beyond what is used at rest; the mean.
+    /// Processor time per request, in microseconds, in addition to the idle usage; mean of all dispatchers.
     RequestProcessor,
-    /// Processor time of a change of the list in microseconds, beyond what is used at rest; the mean.
+    /// Processor time per change of the list, in microseconds, in addition to the idle usage; mean of all dispatchers.
     ChangeProcessor,
-    /// Resident memory at rest in KiB; the largest dispatcher.
+    /// Resident memory when idle, in KiB; maximum of all dispatchers.
     ResidentAtRest,
-    /// Its peak since the start of the process in KiB; the largest dispatcher.
+    /// Peak resident memory since the start of the process, in KiB; maximum of all dispatchers.
     ResidentPeak,
-    /// Open descriptors at rest; the most.
+    /// Open descriptors when idle; maximum of all dispatchers.
     DescriptorsAtRest,
-    /// Open descriptors under requests; the most.
+    /// Open descriptors after the phase with requests; maximum of all dispatchers.
     DescriptorsPeak,
-    /// Bytes that the list service wrote up to the end of the first list, for a dispatcher; the mean.
+    /// Bytes that the list service wrote up to the end of the first list; mean per dispatcher.
     FirstListBytes,
-    /// Bytes that it wrote for a change, for a dispatcher.
+    /// Bytes that the list service wrote per change; mean per dispatcher.
     ChangeBytes,
-    /// Bytes that it wrote in a second at rest, for a dispatcher.
+    /// Bytes that the list service wrote per second when idle; mean per dispatcher.
     RestBytesPerSecond,
-    /// Bytes that it read up to the end of the first list, from a dispatcher.
+    /// Bytes that the list service read up to the end of the first list; mean per dispatcher.
     CallBytes,
-    /// Bytes that workers read for a request.
+    /// Bytes that workers read per request, including responses to callbacks.
     WorkerReadBytes,
-    /// Bytes that workers wrote for a request, call-backs included.
+    /// Bytes that workers wrote per request, including callbacks.
     WorkerWrittenBytes,
-    /// Connections that came up at workers, over the requests.
+    /// Connections opened to workers, per request.
     WorkerConnections,
-    /// From the start of a dispatcher to its confirmed list in seconds, by its own figures; the last one.
+    /// Seconds from the start of a dispatcher to its confirmed list, from its own metrics; maximum of all dispatchers.
     ConfirmedAfter,
-    /// Bytes that the list service wrote after it moved and all dispatchers reloaded, for a dispatcher.
+    /// Bytes that the list service wrote after it moved and all dispatchers reloaded; mean per dispatcher.
     MoveBytes,
-    /// From then until all watched the list at the new address, in seconds.
+    /// Seconds from the move until all dispatchers watched the list at the new address.
     MoveAfter,
-    /// Bytes that the list service wrote when all dispatchers were killed and started together, for a dispatcher.
+    /// Bytes that the list service wrote after all dispatchers were killed and restarted together; mean per dispatcher.
     RestartBytes,
-    /// From then until all had the list confirmed, in seconds.
+    /// Seconds from the restart until all dispatchers had a confirmed list.
     RestartAfter,
 }
 
 impl Figure {
-    /// All of them, in the order in which they are shown.
+    /// All figures, in the order of the table and the chart.
     pub const ALL: [Figure; 19] = [
         Figure::IdleProcessor,
         Figure::RequestProcessor,
@@ -71,62 +71,62 @@
         Figure::RestartAfter,
     ];
 
-    /// Its name with its unit.
+    /// Display name with the unit.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
-            Figure::IdleProcessor => "processor at rest, % of a core",
-            Figure::RequestProcessor => "processor a request, us",
-            Figure::ChangeProcessor => "processor a change, us",
-            Figure::ResidentAtRest => "resident at rest, KiB",
-            Figure::ResidentPeak => "resident peak, KiB",
-            Figure::DescriptorsAtRest => "descriptors at rest",
-            Figure::DescriptorsPeak => "descriptors under requests",
+            Figure::IdleProcessor => "processor when idle, % of a core",
+            Figure::RequestProcessor => "processor per request, us",
+            Figure::ChangeProcessor => "processor per change, us",
+            Figure::ResidentAtRest => "resident memory when idle, KiB",
+            Figure::ResidentPeak => "peak resident memory, KiB",
+            Figure::DescriptorsAtRest => "descriptors when idle",
+            Figure::DescriptorsPeak => "descriptors after requests",
             Figure::FirstListBytes => "first list, bytes",
-            Figure::ChangeBytes => "a change, bytes",
-            Figure::RestBytesPerSecond => "list service at rest, bytes/s",
+            Figure::ChangeBytes => "list service per change, bytes",
+            Figure::RestBytesPerSecond => "list service when idle, bytes/s",
             Figure::CallBytes => "list call, bytes",
-            Figure::WorkerReadBytes => "workers read a request, bytes",
-            Figure::WorkerWrittenBytes => "workers wrote a request, bytes",
-            Figure::WorkerConnections => "worker connections a request",
+            Figure::WorkerReadBytes => "workers read per request, bytes",
+            Figure::WorkerWrittenBytes => "workers wrote per request, bytes",
+            Figure::WorkerConnections => "worker connections per request",
             Figure::ConfirmedAfter => "list confirmed, s",
             Figure::MoveBytes => "move of the list service, bytes",
             Figure::MoveAfter => "move of the list service, s",
-            Figure::RestartBytes => "restart of all, bytes",
-            Figure::RestartAfter => "restart of all, s",
+            Figure::RestartBytes => "restart of all dispatchers, bytes",
+            Figure::RestartAfter => "restart of all dispatchers, s",
         }
     }
 }
 
-/// A figure with its value: the median of the repetitions, and their range.
+/// Value of a figure: the median of the repetitions, and their range.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Measured {
-    /// Which figure.
+pub struct FigureValue {
+    /// The figure.
     pub figure: Figure,
-    /// Its value, in the unit of the figure.
+    /// Median, in the unit of the figure.
     pub value: f64,
-    /// The least value of a repetition.
+    /// Smallest value of any repetition.
     pub least: f64,
-    /// The largest value of a repetition.
+    /// Largest value of any repetition.
     pub most: f64,
 }
 
-impl Measured {
-    /// The value of one repetition.
+impl FigureValue {
+    /// Value of a single repetition.
     #[must_use]
-    pub fn once(figure: Figure, value: f64) -> Measured {
-        Measured { figure, value, least: value, most: value }
+    pub fn single(figure: Figure, value: f64) -> FigureValue {
+        FigureValue { figure, value, least: value, most: value }
     }
 
-    /// The median of several repetitions; none without any.
+    /// Median and range of several repetitions; `None` if there are none.
     #[must_use]
-    pub fn of(figure: Figure, mut values: Vec<f64>) -> Option<Measured> {
+    pub fn median_of(figure: Figure, mut values: Vec<f64>) -> Option<FigureValue> {
         values.sort_by(f64::total_cmp);
         let least = *values.first()?;
         let most = *values.last()?;
         let middle = values.len() / 2;
         let is_odd = values.len() % 2 == 1;
         let value = if is_odd { values[middle] } else { (values[middle - 1] + values[middle]) / 2.0 };
-        Some(Measured { figure, value, least, most })
+        Some(FigureValue { figure, value, least, most })
     }
 }
--- a/crates/rig/src/scale/fit.rs
+++ b/crates/rig/src/scale/fit.rs
@@ -1,49 +1,49 @@
-//! A line through measured points by least squares, and how far the points are from it.
+//! Least-squares fit of a line to measured points, and the residuals of the points.
 
 use serde::{Deserialize, Serialize};
 
-/// A law whose largest residual is above this share of the mean is not linear.
-pub const LINEAR_WITHIN: f64 = 0.1;
+/// A figure is linear if no residual is above this share of the mean value.
+pub const MAX_LINEAR_RESIDUAL: f64 = 0.1;
 
-/// One measured value.
+/// A measured value.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Workers in the list.
+    /// Number of workers in the list.
     pub workers: f64,
-    /// The value.
+    /// Value of the figure.
     pub value: f64,
 }
 
-/// `slope` x workers + `constant`.
+/// The line `slope` x workers + `constant`, and the largest residual of the points that it was fitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// What one more worker adds.
+    /// Increase of the value per worker.
     pub slope: f64,
-    /// What is left without workers.
+    /// Value at zero workers.
     pub constant: f64,
-    /// The largest distance of a point from the line, as a share of the mean of the values.
+    /// Largest absolute residual, as a share of the mean of the absolute values.
     pub largest_residual: f64,
-    /// The number of workers of that point.
+    /// Number of workers of the point with the largest residual.
     pub residual_at: f64,
-    /// Whether the points can show that a law is not linear: there are three sizes or more.
+    /// Whether linearity can be checked, for which at least three sizes are needed.
     pub checked: bool,
 }
 
 impl Line {
-    /// The value of the line at a number of workers.
+    /// Value of the line at this number of workers.
     #[must_use]
     pub fn at(&self, workers: f64) -> f64 {
         self.slope * workers + self.constant
     }
 
-    /// Whether the points follow the line.
+    /// Whether all points are close to the line.
     #[must_use]
     pub fn is_linear(&self) -> bool {
-        self.largest_residual <= LINEAR_WITHIN
+        self.largest_residual <= MAX_LINEAR_RESIDUAL
     }
 }
 
-/// The line with the least squares of residuals; none with fewer than two sizes.
+/// Fits a line by least squares; `None` if there are fewer than two sizes.
 #[must_use]
 pub fn fit(points: &[Point]) -> Option<Line> {
     let mut sizes: Vec<f64> = points.iter().map(|point| point.workers).collect();
--- a/crates/rig/src/scale/interval.rs
+++ b/crates/rig/src/scale/interval.rs
@@ -1,44 +1,44 @@
-//! The time between two samples of a trial.
+//! Interval between two samples of a trial.
 
 use crate::scale::trial_environment::Sample;
 use crate::scale::usage::Usage;
 use crate::time::SECOND;
 use crate::traffic::TrafficCount;
 
-/// Two samples, and the figures of the time between them.
+/// Two samples, from which the figures of the interval between them are computed.
 pub struct Interval {
-    /// The earlier one.
+    /// The earlier sample.
     pub from: Sample,
-    /// The later one.
+    /// The later sample.
     pub to: Sample,
 }
 
 impl Interval {
-    /// Its length in seconds.
+    /// Length in seconds.
     pub fn seconds(&self) -> f64 {
         (self.to.at - self.from.at) as f64 / SECOND as f64
     }
 
-    /// Processor time of a dispatcher in microseconds, the mean.
-    pub fn processor_us(&self) -> f64 {
+    /// Processor time in microseconds, mean per dispatcher.
+    pub fn mean_processor_us(&self) -> f64 {
         let sum = |sample: &Sample| sample.usage.iter().map(|usage| usage.processor_ns).sum::<u64>();
         let all = sum(&self.to).saturating_sub(sum(&self.from)) as f64 / 1e3;
         all / self.dispatchers()
     }
 
-    /// The same beyond what a phase at rest would have used in this time.
-    pub fn processor_us_beyond(&self, rest: &Interval) -> f64 {
-        self.processor_us() - rest.processor_us() / rest.seconds() * self.seconds()
+    /// Processor time in microseconds, mean per dispatcher, in addition to the usage of an idle interval of the same length.
+    pub fn extra_processor_us(&self, idle: &Interval) -> f64 {
+        self.mean_processor_us() - idle.mean_processor_us() / idle.seconds() * self.seconds()
     }
 
-    /// Bytes that the list service wrote to a dispatcher, the mean.
-    pub fn list_bytes(&self) -> f64 {
+    /// Bytes that the list service wrote, mean per dispatcher.
+    pub fn mean_list_bytes(&self) -> f64 {
         let sum = |sample: &Sample| sample.registry.iter().map(|traffic| traffic.written).sum::<u64>();
         (sum(&self.to) - sum(&self.from)) as f64 / self.dispatchers()
     }
 
-    /// Requests that reached a dispatcher, the mean; at least one in all.
-    pub fn requests(&self) -> f64 {
+    /// Requests that reached the dispatchers, mean per dispatcher. The sum is taken as at least one, as it is a divisor.
+    pub fn requests_per_dispatcher(&self) -> f64 {
         let sent = self.to.requests.sent() - self.from.requests.sent();
         sent.max(1) as f64 / self.dispatchers()
     }
@@ -48,14 +48,14 @@
         self.to.workers.requests - self.from.workers.requests
     }
 
-    /// Traffic on connections that workers opened.
+    /// Traffic on connections that workers opened for callbacks.
     pub fn callbacks(&self) -> TrafficCount {
         self.to.workers.callbacks - self.from.workers.callbacks
     }
 
-    /// A total over the requests that reached any dispatcher.
-    pub fn by_request(&self, total: u64) -> f64 {
-        total as f64 / self.dispatchers() / self.requests()
+    /// Divides a total by the number of requests that reached any dispatcher.
+    pub fn per_request(&self, total: u64) -> f64 {
+        total as f64 / self.dispatchers() / self.requests_per_dispatcher()
     }
 
     fn dispatchers(&self) -> f64 {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The largest value of any dispatcher.
-pub fn most(sample: &Sample, of: fn(&Usage) -> u64) -> f64 {
+/// The largest value of a usage figure over all dispatchers.
+pub fn max_usage(sample: &Sample, of: fn(&Usage) -> u64) -> f64 {
     sample.usage.iter().map(of).max().unwrap_or(0) as f64
 }
--- a/crates/rig/src/scale/trial_error.rs
+++ b/crates/rig/src/scale/trial_error.rs
@@ -1,47 +1,47 @@
-//! Why a trial cannot go on.
+//! Errors that abort a trial.
 
 use crate::dispatcher_process::{MoveError, SpawnError};
 use crate::scenario::ScenarioError;
 use std::io;
 use thiserror::Error;
 
-/// Why a trial cannot go on.
+/// Why a trial was aborted.
 #[derive(Debug, Error)]
 pub enum TrialError {
-    /// The scenario of the settings is rejected.
-    #[error("the scenario of a trial")]
+    /// The scenario from which the settings are derived is invalid.
+    #[error("invalid scenario of the trial")]
     Scenario(#[from] ScenarioError),
     /// The stand-ins cannot be set up.
-    #[error("the stand-ins cannot be set up")]
+    #[error("cannot set up the stand-ins")]
     Setup(#[source] io::Error),
     /// A dispatcher could not be started.
     #[error(transparent)]
     Spawn(#[from] SpawnError),
-    /// A dispatcher ended that was not asked to.
-    #[error("n{number} ended unasked: {last_lines:?}")]
-    EndedUnasked {
-        /// Its number.
+    /// A dispatcher exited without a request to stop.
+    #[error("dispatcher n{number} exited unexpectedly; last log lines: {last_lines:?}")]
+    UnexpectedExit {
+        /// Number of the dispatcher.
         number: usize,
-        /// The last lines of its log.
+        /// Last lines of the dispatcher's log.
         last_lines: Vec<String>,
     },
-    /// The processes use too much memory together.
-    #[error("all processes take {used_mib} MiB, more than half of the memory ({max_mib} MiB)")]
+    /// The processes together use too much memory.
+    #[error("all processes use {used_mib} MiB, more than half of the machine's memory ({max_mib} MiB)")]
     Memory {
-        /// What they use.
+        /// Resident memory of all processes, in MiB.
         used_mib: u64,
-        /// What they may use.
+        /// Limit, in MiB.
         max_mib: u64,
     },
-    /// The usage of a dispatcher cannot be read.
-    #[error("n{number}")]
+    /// The resource usage of a dispatcher cannot be read.
+    #[error("cannot read the resource usage of dispatcher n{number}")]
     Usage {
-        /// Its number.
+        /// Number of the dispatcher.
         number: usize,
-        /// Why not.
+        /// Why it cannot be read.
         source: io::Error,
     },
-    /// A dispatcher could not be notified that its list service has moved.
+    /// A dispatcher could not be pointed to the new address of the list service.
     #[error(transparent)]
     Move(#[from] MoveError),
 }
--- a/crates/rig/tests/clairvoyant.rs
+++ b/crates/rig/tests/clairvoyant.rs
@@ -1,11 +1,12 @@
-//! The clairvoyant reference: its capacity, and the share of requests that it serves in time.
+//! Tests of the clairvoyant reference: its capacity, and the share of requests that it serves in time.
 
 use roselock_rig::clairvoyant::{served_by, share_in_time};
 use roselock_rig::worker_profile::WorkerProfile;
 use roselock_rig::{Micros, SECOND};
 use rstest::rstest;
 
-/// Two slots and a job of 0.25 s: 8 jobs a second when warm, 1.2 at the start, 110.4 in the 24 s of the warm-up.
+/// With two slots and jobs of 0.25 s, a worker serves 8 jobs per second when warm, 1.2 at the start, and 110.4 jobs in the
+/// 24 s of the warm-up.
 #[rstest]
 fn capacity_grows_while_a_worker_warms_up() {
     let profile = WorkerProfile::default();
@@ -14,7 +15,8 @@
     assert!((served_by(&profile, SECOND / 10) - 0.12).abs() < 0.01);
 }
 
-/// Guards against a reference that is none: all requests are served within the capacity, and no more than the capacity.
+/// Guards against an unusable reference: all requests are served if the capacity suffices, and otherwise no more than the
+/// capacity.
 #[rstest]
 #[case::warm(None, 6, 1.0..1.01)]
 #[case::warm_and_overloaded(None, 16, 0.5..0.6)]
