--- a/crates/rig/src/clients/arrivals.rs
+++ b/crates/rig/src/clients/arrivals.rs
@@ -1,16 +1,17 @@
-//! The times at which requests arrive.
+//! The arrival times of requests.
 
 use crate::test_environment::TestEnvironment;
 use crate::time::Micros;
 use oorandom::Rand64;
 
-/// The arrivals of requests: a Poisson process, and a burst at one time. Times are in seconds since the start.
+/// Generates the arrival times of requests: a Poisson process, and a burst at one time. Times are in seconds since the start
+/// of the run.
 pub(super) struct Arrivals {
     pub(super) random: Rand64,
     rate: f64,
     end_s: f64,
     burst_at_s: f64,
-    /// Requests of the burst that have not arrived.
+    /// Requests of the burst that have not arrived yet.
     burst_left: usize,
     /// The latest arrival outside the burst.
     latest_s: f64,
@@ -30,16 +31,16 @@
         }
     }
 
-    /// The time of the next one, in microseconds since the start.
+    /// The time of the next arrival, in microseconds since the start of the run.
     pub(super) fn next(&mut self) -> Option<Micros> {
         let next_s = self.latest_s - (1.0 - self.random.rand_float()).ln() / self.rate;
-        // The burst arrives between two of the other requests; its draws are not used.
+        // For each request of the burst, the time drawn for the Poisson process is discarded.
         if self.burst_left > 0 && (next_s.is_nan() || next_s >= self.burst_at_s) {
             self.burst_left -= 1;
             return Some((self.burst_at_s * 1e6) as Micros);
         }
         self.latest_s = next_s;
-        // With a rate of 0 the first arrival is at no time.
+        // With a rate of 0 the time is infinite or NaN: there is no arrival.
         if next_s.is_nan() || next_s >= self.end_s {
             return None;
         }
--- a/crates/rig/src/connection_pool.rs
+++ b/crates/rig/src/connection_pool.rs
@@ -1,31 +1,31 @@
-//! Idle connections of a client for later requests.
+//! A pool of idle connections for later requests.
 
 use crate::http::Connection;
 use parking_lot::Mutex;
 use std::io;
 
-/// Idle connections to one server; the one used last is reused first.
+/// Idle connections to one server; the most recently used one is reused first.
 #[derive(Default)]
 pub struct ConnectionPool(Mutex<Vec<Connection>>);
 
 impl ConnectionPool {
-    /// Whether it has no idle connection.
+    /// Whether there is no idle connection.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.lock().is_empty()
     }
 
-    /// An idle connection, if there is one.
+    /// Takes an idle connection, if there is one.
     #[must_use]
     pub fn take(&self) -> Option<Connection> {
         self.0.lock().pop()
     }
 
-    /// An idle connection, or one that `open` opens.
+    /// Takes an idle connection, or opens one with `open`.
     ///
     /// # Errors
     ///
-    /// That of `open`.
+    /// `open` fails.
     pub fn take_or_open(&self, open: impl FnOnce() -> io::Result<Connection>) -> io::Result<Connection> {
         match self.take() {
             Some(connection) => Ok(connection),
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Keeps a connection for the next request.
+    /// Adds an idle connection.
     pub fn put(&self, connection: Connection) {
         self.0.lock().push(connection);
     }
 
-    /// Keeps a connection, or closes it if there are `limit` idle ones.
+    /// Adds an idle connection, or closes it if there are already `limit` idle ones.
     pub fn put_within(&self, limit: usize, connection: Connection) {
         let mut idle = self.0.lock();
         if idle.len() < limit {
--- a/crates/rig/src/dispatcher_process.rs
+++ b/crates/rig/src/dispatcher_process.rs
@@ -1,4 +1,4 @@
-//! Dispatchers as processes of the rig.
+//! Starts dispatchers as processes, and moves their list service.
 
 use crate::process::{Process, ProcessError};
 use crate::scenario::Scenario;
@@ -10,32 +10,32 @@
 use std::process::Command;
 use thiserror::Error;
 
-/// What a dispatcher may use.
+/// Resource limits of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Memory in MB.
     pub memory_mb: usize,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
 }
 
-/// The limits in the scenarios.
+/// The limits of each dispatcher that the rig starts.
 pub const LIMITS: Limits = Limits { memory_mb: 64, sockets: 512 };
 
-/// The addresses and the folder of a dispatcher.
+/// The addresses and the directory of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherSpec {
     /// Its number.
     pub number: usize,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
     /// Its admin address.
     pub admin: SocketAddr,
-    /// Its list service.
+    /// The address of its list service.
     pub list_service: SocketAddr,
-    /// Where the list service is after it has moved.
+    /// The address of the list service after it has moved.
     pub moved_list_service: SocketAddr,
-    /// Its own folder.
+    /// Its own directory.
     pub folder: PathBuf,
 }
 
@@ -49,29 +49,29 @@
     }
 }
 
-/// How a dispatcher is started.
+/// The settings with which a dispatcher is started.
 pub struct StartSettings<'a> {
-    /// What the dispatchers' settings follow from.
+    /// The scenario, which determines the dispatchers' settings.
     pub scenario: &'a Scenario,
-    /// Its limits.
+    /// Its resource limits.
     pub limits: Limits,
-    /// Its seed.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// The list that it starts with, as on the wire.
+    /// The endpoint list that it starts with, as JSON.
     pub known_list: &'a str,
 }
 
-/// A dispatcher that runs.
+/// A running dispatcher.
 pub struct DispatcherProcess {
     /// Its process.
     pub process: Process,
-    /// Where it is.
+    /// Its addresses and its directory.
     pub spec: DispatcherSpec,
 }
 
 /// A dispatcher could not be started.
 #[derive(Debug, Error)]
-#[error("n{number}")]
+#[error("dispatcher n{number} could not be started")]
 pub struct SpawnError {
     number: usize,
     source: io::Error,
@@ -81,11 +81,11 @@
 #[derive(Debug, Error)]
 pub enum MoveError {
     /// Its configuration could not be changed.
-    #[error("n{number}")]
+    #[error("configuration of dispatcher n{number} could not be changed")]
     Config {
         /// Its number.
         number: usize,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// The signal to reload could not be sent.
@@ -94,11 +94,11 @@
 }
 
 impl DispatcherProcess {
-    /// Starts one by the command of its program.
+    /// Writes the configuration of a dispatcher and starts it with the command of its program.
     ///
     /// # Errors
     ///
-    /// Its files cannot be written, `known_list` is no JSON, or the system does not start it.
+    /// Its files cannot be written, `known_list` is not JSON, or the process cannot be started.
     pub fn start(
         command: Command,
         spec: &DispatcherSpec,
@@ -109,11 +109,11 @@
         Ok(DispatcherProcess { process, spec: spec.clone() })
     }
 
-    /// Writes the list service's other address into its configuration, and makes it reload.
+    /// Writes the list service's new address into its configuration, and makes it reload.
     ///
     /// # Errors
     ///
-    /// The file cannot be changed, or the signal cannot be sent.
+    /// The configuration cannot be changed, or the signal cannot be sent.
     pub fn move_list_service(&self) -> Result<(), MoveError> {
         let number = self.spec.number;
         rewrite_config(&self.spec).map_err(|source| MoveError::Config { number, source })?;
--- a/crates/rig/src/files.rs
+++ b/crates/rig/src/files.rs
@@ -1,4 +1,4 @@
-//! Files that are named on the command line.
+//! Access to files that are given on the command line.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 /// A file that cannot be read or written.
 #[derive(Debug, Error)]
-#[error("{}", path.display())]
+#[error("cannot access {}", path.display())]
 pub struct FileError {
     path: PathBuf,
     source: io::Error,
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// It cannot be read, or is no UTF-8.
+/// It cannot be read, or is not valid UTF-8.
 pub fn read(path: &Path) -> Result<String, FileError> {
     std::fs::read_to_string(path).map_err(|source| FileError { path: path.to_owned(), source })
 }
@@ -30,7 +30,7 @@
     std::fs::write(path, text).map_err(|source| FileError { path: path.to_owned(), source })
 }
 
-/// Checks that a file can be written, and creates it if there is none.
+/// Checks that a file can be written, and creates it if it does not exist.
 ///
 /// # Errors
 ///
@@ -40,7 +40,7 @@
     opened.map(drop).map_err(|source| FileError { path: path.to_owned(), source })
 }
 
-/// Creates a folder with its parents, if there is none.
+/// Creates a directory with its parents, if it does not exist.
 ///
 /// # Errors
 ///
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as the stand-ins need, on `may` sockets.
+//! The subset of HTTP/1.1 that the stand-ins need, on `may` sockets.
 
 use crate::traffic::Traffic;
 use may::net::TcpStream;
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest message in bytes.
+/// Maximum length of a message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 32;
-/// Bytes that one read takes at most.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 2048;
 
-/// A message: the words of its first line, its headers with names in lower case, its body.
+/// A request or a response; header names are in lower case.
 #[derive(Debug)]
 pub struct Message {
-    /// Method and path of a request; the status of a response, twice.
+    /// Method and path of a request; for a response, its status in both elements.
     pub start: [String; 2],
     headers: Vec<Header>,
     /// The body.
@@ -30,7 +30,7 @@
     value: String,
 }
 
-/// The head of a message, and how many bytes it took.
+/// The head of a message, and its length in bytes.
 struct Head {
     start: [String; 2],
     headers: Vec<Header>,
@@ -57,7 +57,7 @@
     }
 }
 
-/// One end of a connection.
+/// A connection.
 pub struct Connection {
     stream: TcpStream,
     received: Vec<u8>,
@@ -65,14 +65,14 @@
 }
 
 impl Connection {
-    /// Over a stream that was accepted.
+    /// Wraps a connected stream.
     #[must_use]
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
         Connection { stream, received: Vec::new(), traffic: None }
     }
 
-    /// The same, with its traffic counted from now on.
+    /// Counts the connection and its traffic from now on.
     #[must_use]
     pub fn counted(mut self, traffic: &Arc<Traffic>) -> Connection {
         traffic.count_connection();
@@ -80,16 +80,16 @@
         self
     }
 
-    /// Opens one.
+    /// Opens a connection.
     ///
     /// # Errors
     ///
-    /// It is not established within `timeout`, or is refused.
+    /// It cannot be established within `timeout`.
     pub fn open(address: SocketAddr, timeout: Duration) -> io::Result<Connection> {
         Ok(Connection::new(TcpStream::connect_timeout(&address, timeout)?))
     }
 
-    /// Writes all of a text.
+    /// Writes the entire text.
     ///
     /// # Errors
     ///
@@ -102,26 +102,25 @@
         Ok(())
     }
 
-    /// Sets how long a read waits for bytes.
+    /// Sets the timeout of each read.
     ///
     /// # Errors
     ///
-    /// The system does not set it.
+    /// The system rejects the timeout.
     pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(timeout))
     }
 
-    /// Closes it, also for a coroutine that reads from it.
+    /// Shuts the connection down, also for a coroutine that is reading from it.
     pub fn close(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// The next message; `None` if the connection ends between two.
+    /// Reads the next message; `None` if the connection ends between two messages.
     ///
     /// # Errors
     ///
-    /// Nothing comes within the read timeout, the connection breaks or ends within a message, or what comes is no message
-    /// or too long.
+    /// The read times out, the connection fails or ends within a message, or the message is not valid HTTP or too long.
     pub fn read(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some(message) = self.parse()? {
@@ -148,7 +147,7 @@
         }
     }
 
-    /// The first message of what was received, if it is complete.
+    /// Parses the first message in the received bytes, if it is complete.
     fn parse(&mut self) -> io::Result<Option<Message>> {
         let Some(head) = parse_head(&self.received).map_err(|_| io::ErrorKind::InvalidData)? else {
             return Ok(None);
@@ -167,20 +166,24 @@
 }
 
 fn parse_head(received: &[u8]) -> Result<Option<Head>, httparse::Error> {
-    let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
     if received.starts_with(b"HTTP/") {
-        let mut response = httparse::Response::new(&mut space);
+        let mut response = httparse::Response::new(&mut header_buffer);
         let httparse::Status::Complete(bytes) = response.parse(received)? else { return Ok(None) };
         let status = response.code.unwrap_or(0).to_string();
-        return Ok(Some(Head { start: [status.clone(), status], headers: owned(response.headers), bytes }));
+        return Ok(Some(Head {
+            start: [status.clone(), status],
+            headers: owned_headers(response.headers),
+            bytes,
+        }));
     }
-    let mut request = httparse::Request::new(&mut space);
+    let mut request = httparse::Request::new(&mut header_buffer);
     let httparse::Status::Complete(bytes) = request.parse(received)? else { return Ok(None) };
     let start = [request.method, request.path].map(|word| word.unwrap_or("").to_owned());
-    Ok(Some(Head { start, headers: owned(request.headers), bytes }))
+    Ok(Some(Head { start, headers: owned_headers(request.headers), bytes }))
 }
 
-fn owned(headers: &[httparse::Header]) -> Vec<Header> {
+fn owned_headers(headers: &[httparse::Header]) -> Vec<Header> {
     let owned = |header: &httparse::Header| Header {
         name: header.name.to_lowercase(),
         value: String::from_utf8_lossy(header.value).into_owned(),
@@ -188,13 +191,13 @@
     headers.iter().map(owned).collect()
 }
 
-/// A response with a body; `headers` are complete lines.
+/// A response with a body; `headers` consists of complete header lines.
 #[must_use]
 pub fn response(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} -\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A client's request for a job; `budget` is the time that is left, in seconds.
+/// A client's request for a job; `budget` is the time left until its deadline, in seconds.
 #[must_use]
 pub fn job_request(id: &str, class: &str, budget: &str) -> String {
     let head = format!("X-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Budget: {budget}\r\nContent-Length: 4");
@@ -208,10 +211,10 @@
     format!("POST /v1/job-events HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// The head of a response in chunks.
+/// The head of a chunked response.
 pub const CHUNKED_HEAD: &str = "HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A line as a chunk of such a response.
+/// A line as one chunk of a chunked response.
 #[must_use]
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
--- a/crates/rig/src/outage.rs
+++ b/crates/rig/src/outage.rs
@@ -1,30 +1,30 @@
-//! How the list service fails, and when.
+//! Outages of the list service.
 
 use serde::{Deserialize, Serialize};
 
-/// How a call ends that waited too long, or that arrives during an outage.
+/// How a call fails that timed out in the queue or that arrives during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// With a 503.
+    /// A response with status 503.
     #[default]
     Answer503,
     /// The connection is closed.
     Reset,
-    /// It stays open and silent.
+    /// The connection stays open without a response.
     Silence,
-    /// With a complete list without workers.
+    /// A complete list without workers.
     Empty,
 }
 
-/// A span in which the service fails.
+/// A period in which calls to the list service fail.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
-    /// From when, in seconds since the start.
+    /// Its start, in seconds since the start of the run.
     pub from_s: f64,
-    /// Until when, in seconds since the start.
+    /// Its end, in seconds since the start of the run.
     pub until_s: f64,
-    /// How calls end; open watches end, too, except with [`Failure::Silence`].
+    /// How calls fail; open watches end as well, except with [`Failure::Silence`].
     pub failure: Failure,
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that end with whoever holds them, and what they log.
+//! Child processes that are killed when their handle is dropped, and their logs.
 
 pub use nix::sys::signal::Signal;
 
@@ -15,82 +15,82 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How long an event may take to come.
+/// Timeout for an expected event.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Stack of the thread that reads a log, in bytes.
+/// Stack size of the thread that reads a log, in bytes.
 const LOG_READER_STACK_BYTES: usize = 64 * 1024;
-/// How often it is checked whether a process has ended.
+/// Interval between checks whether a process has ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// Lines of a log that an error shows.
-const LAST_LOG_LINES: usize = 5;
+/// Maximum number of log lines that an error shows.
+const MAX_LAST_LOG_LINES: usize = 5;
 
-/// The ids of the processes that run.
-static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
+/// The ids of the running child processes.
+static RUNNING_PIDS: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-/// Kills all that run, by their ids; none can be started after it.
+/// Kills all running child processes by their ids; no further one can be started.
 pub fn kill_all() {
-    let running = RUNNING.lock();
+    let running = RUNNING_PIDS.lock();
     for id in running.iter() {
         let _ = kill(Pid::from_raw(*id as i32), Signal::SIGKILL);
     }
-    // A thread that still starts one waits for the lock until this process ends.
+    // The lock is never released: a thread that starts another child blocks until this process ends.
     std::mem::forget(running);
 }
 
-/// What went wrong with a process.
+/// An error of a child process.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// It did not log what was expected in time.
-    #[error("{name}: {words:?} was not logged")]
+    /// The expected text was not logged in time.
+    #[error("{name} did not log {text:?} in time")]
     NotLogged {
         /// Its name.
         name: String,
-        /// What was expected.
-        words: String,
+        /// The expected text.
+        text: String,
     },
-    /// It ended before it logged what was expected.
-    #[error("{name}: {words:?} was not logged before it ended: {last_lines:?}")]
+    /// The process ended before it logged the expected text.
+    #[error("{name} ended before it logged {text:?}; last log lines: {last_lines:?}")]
     EndedBeforeLog {
         /// Its name.
         name: String,
-        /// What was expected.
-        words: String,
+        /// The expected text.
+        text: String,
         /// The last lines of its log.
         last_lines: Vec<String>,
     },
-    /// A signal could not be sent to it.
-    #[error("{name}: {signal}")]
+    /// A signal could not be sent to the process.
+    #[error("{signal} could not be sent to {name}")]
     Signal {
         /// Its name.
         name: String,
         /// The signal.
         signal: Signal,
-        /// Why not.
+        /// The cause.
         source: Errno,
     },
-    /// It did not end in time.
-    #[error("{name} did not end")]
-    StillRuns {
+    /// The process did not end in time.
+    #[error("{name} did not end in time")]
+    StillRunning {
         /// Its name.
         name: String,
     },
-    /// It could not be waited for.
-    #[error("{name}")]
+    /// Waiting for the process failed.
+    #[error("waiting for {name} failed")]
     Wait {
         /// Its name.
         name: String,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// What a process uses, as the system counts it. In JSON it is the pair of both numbers.
+/// Resource usage of a process, as reported by the system. In JSON it is the pair of both numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct ResourceUsage {
     /// Resident memory in MB.
     pub memory_mb: usize,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl ResourceUsage {
-    /// The larger one of each number.
+    /// The maximum of each number.
     #[must_use]
     pub fn max(self, other: ResourceUsage) -> ResourceUsage {
         ResourceUsage {
@@ -111,7 +111,7 @@
     }
 }
 
-/// A process that runs; it is killed, by its id, when this is dropped.
+/// A child process; it is killed by its id when this is dropped.
 pub struct Process {
     child: Child,
     name: String,
@@ -120,13 +120,13 @@
 }
 
 impl Process {
-    /// Starts one. What it writes to standard error is its log; the other streams are closed to it.
+    /// Starts a process. Its standard error is its log; standard input and output are `/dev/null`.
     ///
     /// # Errors
     ///
-    /// The system does not start the program, or the thread that reads the log.
+    /// The program, or the thread that reads the log, cannot be started.
     pub fn spawn(name: &str, mut command: Command) -> io::Result<Process> {
-        let mut running = RUNNING.lock();
+        let mut running = RUNNING_PIDS.lock();
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
         running.insert(child.id());
         drop(running);
@@ -138,36 +138,36 @@
         Ok(Process { child, name: name.to_owned(), log: Mutex::new(log), logged: Vec::new() })
     }
 
-    /// Its id.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until it logs these words; the line.
+    /// Waits for a new log line that contains the text, and returns it.
     ///
     /// # Errors
     ///
-    /// It does not log them within [`EVENT_TIMEOUT`], or ends before.
-    pub fn logs(&mut self, words: &str) -> Result<String, ProcessError> {
+    /// No such line is logged within [`EVENT_TIMEOUT`], or the process ends before.
+    pub fn logs(&mut self, text: &str) -> Result<String, ProcessError> {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
             match self.log.get_mut().recv_timeout(time_left) {
                 Ok(line) => {
                     self.logged.push(line.clone());
-                    if line.contains(words) {
+                    if line.contains(text) {
                         return Ok(line);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {
                     let name = self.name.clone();
-                    return Err(ProcessError::NotLogged { name, words: words.to_owned() });
+                    return Err(ProcessError::NotLogged { name, text: text.to_owned() });
                 }
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(ProcessError::EndedBeforeLog {
                         name: self.name.clone(),
-                        words: words.to_owned(),
+                        text: text.to_owned(),
                         last_lines: self.last_log_lines(),
                     });
                 }
@@ -175,38 +175,38 @@
         }
     }
 
-    /// Waits until it logs these words, unless it has logged them before; the line.
+    /// Returns a log line that contains the text: an earlier one if there is one, else it waits for the next.
     ///
     /// # Errors
     ///
-    /// As [`Process::logs`].
-    pub fn has_logged(&mut self, words: &str) -> Result<String, ProcessError> {
-        match self.logged.iter().find(|line| line.contains(words)) {
+    /// Those of [`Process::logs`].
+    pub fn has_logged(&mut self, text: &str) -> Result<String, ProcessError> {
+        match self.logged.iter().find(|line| line.contains(text)) {
             Some(line) => Ok(line.clone()),
-            None => self.logs(words),
+            None => self.logs(text),
         }
     }
 
-    /// The last lines of its log.
+    /// The last log lines.
     pub fn last_log_lines(&mut self) -> Vec<String> {
         self.logged.extend(self.log.get_mut().try_iter());
-        self.logged[self.logged.len().saturating_sub(LAST_LOG_LINES)..].to_vec()
+        self.logged[self.logged.len().saturating_sub(MAX_LAST_LOG_LINES)..].to_vec()
     }
 
-    /// Sends it a signal, by its id.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// The system does not send it.
+    /// The signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let sent = kill(Pid::from_raw(self.child.id() as i32), signal);
         sent.map_err(|source| ProcessError::Signal { name: self.name.clone(), signal, source })
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
-        // Waited for within the lock: afterwards, another process may have its id.
-        let mut running = RUNNING.lock();
+        // The lock is held while the process is reaped: afterwards, another process may have its id.
+        let mut running = RUNNING_PIDS.lock();
         let ended = matches!(self.child.try_wait(), Ok(Some(_)) | Err(_));
         if ended {
             running.remove(&self.child.id());
@@ -214,7 +214,7 @@
         ended
     }
 
-    /// How it ended by itself, if it has.
+    /// The exit status, if the process has ended by itself.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         if !self.has_ended() {
             return None;
@@ -222,27 +222,27 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     ///
     /// # Errors
     ///
-    /// It does not end within [`EVENT_TIMEOUT`], or cannot be waited for.
+    /// The process does not end within [`EVENT_TIMEOUT`], or waiting for it fails.
     pub fn end(&mut self) -> Result<ExitStatus, ProcessError> {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         while !self.has_ended() {
             if Instant::now() > deadline {
-                return Err(ProcessError::StillRuns { name: self.name.clone() });
+                return Err(ProcessError::StillRunning { name: self.name.clone() });
             }
             std::thread::sleep(END_CHECK_INTERVAL);
         }
         self.child.wait().map_err(|source| ProcessError::Wait { name: self.name.clone(), source })
     }
 
-    /// Its memory and its descriptors; none if it has not become its program yet.
+    /// The resource usage; none while the child has not executed its program yet.
     #[must_use]
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         let process = PathBuf::from(format!("/proc/{}", self.child.id()));
-        // Before that, a child shows what its parent uses.
+        // Before `exec`, a child's figures are those of its parent.
         if std::fs::read_link(process.join("exe")).ok()? == std::env::current_exe().ok()? {
             return None;
         }
@@ -253,20 +253,20 @@
         Some(ResourceUsage { memory_mb: resident_kb / 1024, descriptors })
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
-        // No other process can have its id before it was waited for.
-        RUNNING.lock().remove(&self.child.id());
+        // No other process can get its id before it is reaped.
+        RUNNING_PIDS.lock().remove(&self.child.id());
         let _ = self.child.wait();
     }
 }
 
-/// Sends each line to the process's owner, until the process closes its log.
+/// Sends each log line to the [`Process`], until the child closes its log.
 fn read_log(stderr: ChildStderr, sender: &Sender<String>) {
     for line in BufReader::new(stderr).lines() {
         let Ok(line) = line else { return };
-        // The owner may be gone; the log is read to its end, so that the process is never blocked by it.
+        // The receiver may be gone. The log is still read to its end, so that the child never blocks on a full pipe.
         let _ = sender.send(line);
     }
 }
@@ -277,11 +277,12 @@
     }
 }
 
-/// Kills all processes and then ends this one when a signal asks it to end: a signal runs no destructor.
+/// On SIGINT, SIGTERM or SIGHUP, kills all child processes and exits: a signal would end this process without running
+/// destructors.
 ///
 /// # Errors
 ///
-/// The signals cannot be handled.
+/// The signal handlers cannot be installed.
 pub fn kill_all_on_signals() -> io::Result<()> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGINT, SIGTERM, SIGHUP])?;
--- a/crates/rig/src/run/error.rs
+++ b/crates/rig/src/run/error.rs
@@ -1,4 +1,4 @@
-//! Why a run has no report.
+//! The error of a run that ends without a report.
 
 use crate::dispatcher_process::{MoveError, SpawnError};
 use crate::process::ProcessError;
@@ -6,28 +6,28 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a run has no report.
+/// The reason why a run ends without a report.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The stand-ins could not be set up.
-    #[error("the stand-ins cannot be set up")]
+    #[error("the stand-ins could not be set up")]
     Setup(#[source] io::Error),
     /// A dispatcher could not be started.
     #[error(transparent)]
     Spawn(#[from] SpawnError),
-    /// The rig lacks resources of the system, such as descriptors or ports.
-    #[error("the rig itself was not able to go on")]
+    /// The rig lacks system resources, such as file descriptors or ports.
+    #[error("the rig ran out of system resources")]
     RigFailure(#[source] io::Error),
-    /// A dispatcher ended that was not asked to.
-    #[error("n{number} ended unasked: {last_lines:?}")]
-    EndedUnasked {
+    /// A dispatcher exited without a shutdown request.
+    #[error("n{number} exited unexpectedly; last log lines: {last_lines:?}")]
+    UnexpectedExit {
         /// Its number.
         number: usize,
         /// The last lines of its log.
         last_lines: Vec<String>,
     },
-    /// Requests were in flight long after their deadlines.
-    #[error("requests that did not end")]
+    /// Requests were still in flight long after their deadlines.
+    #[error("requests are still in flight long after their deadlines")]
     RequestsInFlight,
     /// A dispatcher could not be controlled.
     #[error(transparent)]
@@ -36,16 +36,16 @@
     #[error(transparent)]
     Move(#[from] MoveError),
     /// A worker could not be replaced.
-    #[error("a worker cannot be replaced")]
+    #[error("a worker could not be replaced")]
     Replace(#[source] io::Error),
     /// An event does not apply to workers.
-    #[error("{kind:?} befalls dispatchers only")]
+    #[error("event {kind:?} does not apply to workers")]
     NotForWorkers {
         /// The event.
         kind: EventKind,
     },
     /// An event does not apply to dispatchers.
-    #[error("{kind:?} does not befall dispatchers")]
+    #[error("event {kind:?} does not apply to dispatchers")]
     NotForDispatchers {
         /// The event.
         kind: EventKind,
--- a/crates/rig/src/run/events.rs
+++ b/crates/rig/src/run/events.rs
@@ -52,7 +52,7 @@
         self.environment.list.change(|_, entry| entry.state = state, workers);
     }
 
-    /// Starts workers, cold, and lists them as ready.
+    /// Starts workers cold, and lists them as ready.
     pub(super) fn start_workers(&self, workers: Range<usize>) {
         let boot_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64);
         for number in workers.clone() {
@@ -65,9 +65,9 @@
         self.environment.list.change(list_as_started, workers);
     }
 
-    /// Each worker continues as a new process at another address; connections to its old address are closed at once.
+    /// Replaces each worker by a new process at another address; connections to its old address are closed at once.
     fn replace_workers(&self, workers: Range<usize>) -> io::Result<()> {
-        let listeners = setup::listeners(workers.len())?;
+        let listeners = setup::bind_listeners(workers.len())?;
         let mut endpoints = Vec::new();
         for listener in &listeners {
             endpoints.push(listener.local_addr()?.to_string());
@@ -89,15 +89,15 @@
     fn apply_to_dispatcher(&mut self, number: usize, kind: EventKind) -> Result<(), RunError> {
         let environment = self.environment.clone();
         if kind == EventKind::Start {
-            // At most one of a name: the former process ends first.
+            // A dispatcher's name belongs to at most one process, so the previous one is killed first.
             environment.record_kill(number);
             self.processes[number] = None;
-            return self.start(number);
+            return self.start_dispatcher(number);
         }
         let Some(dispatcher) = &mut self.processes[number] else { return Ok(()) };
         let process = &mut dispatcher.process;
         match kind {
-            // It may have ended by itself since it was asked to shut down.
+            // It may have exited by itself since its shutdown request.
             EventKind::Term | EventKind::Reload if process.has_ended() => {}
             EventKind::Term => {
                 environment.process_histories[number].record_shutdown_request(environment.clock.now());
--- a/crates/rig/src/run_chart.rs
+++ b/crates/rig/src/run_chart.rs
@@ -1,4 +1,4 @@
-//! The chart of a run: the attempts that ended in each second, with the faults marked, as SVG.
+//! Draws the chart of a run: the attempts that ended in each second, with the faults marked, as SVG.
 
 use crate::report::Report;
 use crate::scenario::Scenario;
@@ -8,14 +8,14 @@
 use thiserror::Error;
 
 /// Width and height in pixels.
-const SIZE: (u32, u32) = (900, 420);
-/// Height of the axis over the highest value: space for the names of the faults.
+const CHART_SIZE: (u32, u32) = (900, 420);
+/// Ratio of the axis height to the highest value, which leaves space for the names of the faults.
 const HEADROOM: f64 = 1.3;
-/// Rows in which the names of faults are written, one below the other.
+/// Number of rows for the names of faults.
 const NAME_ROWS: usize = 6;
-/// Height of such a row, as a share of the axis.
+/// Height of such a row, as a share of the axis height.
 const NAME_ROW_SHARE: f64 = 0.04;
-/// A fault without duration is marked by the length of the run over this.
+/// The minimum width of a fault's mark is the duration of the run divided by this.
 const MIN_FAULT_WIDTH_DIVISOR: f64 = 300.0;
 
 /// A chart cannot be drawn.
@@ -23,7 +23,7 @@
 #[error("the chart cannot be drawn")]
 pub struct ChartError(#[from] DrawingAreaErrorKind<std::io::Error>);
 
-/// A fault or an event as it is marked, with its times in seconds since the start.
+/// The mark of a fault or an event, with its times in seconds since the start of the run.
 struct MarkedFault {
     name: String,
     from_s: f64,
@@ -51,7 +51,7 @@
     marked
 }
 
-/// The chart of a run, as SVG.
+/// Draws the chart of a run as SVG.
 ///
 /// # Errors
 ///
@@ -66,7 +66,7 @@
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 fn draw(scenario: &Scenario, report: &Report, text: &mut String) -> DrawResult {
-    let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(text, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let seconds = report.by_second.len().max(1) as f64;
     let highest = report.by_second.iter().flatten().copied().max().unwrap_or(1).max(1);
@@ -82,9 +82,13 @@
         .x_label_area_size(30)
         .y_label_area_size(45)
         .build_cartesian_2d(0.0..seconds, 0.0..top)?;
-    chart.configure_mesh().x_desc("seconds since the start").y_desc("tries that ended, a second").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds since the start")
+        .y_desc("attempts that ended per second")
+        .draw()?;
     draw_faults(&mut chart, scenario, seconds, top)?;
-    draw_ends(&mut chart, report)?;
+    draw_attempt_ends(&mut chart, report)?;
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
     area.present()
 }
@@ -101,7 +105,7 @@
     Ok(())
 }
 
-fn draw_ends(chart: &mut Chart<'_, '_>, report: &Report) -> DrawResult {
+fn draw_attempt_ends(chart: &mut Chart<'_, '_>, report: &Report) -> DrawResult {
     let lines = [
         ("served", RGBColor(20, 120, 60)),
         ("refused", RGBColor(220, 140, 0)),
--- a/crates/rig/src/traffic.rs
+++ b/crates/rig/src/traffic.rs
@@ -1,10 +1,10 @@
-//! The traffic on connections of a stand-in, counted as the stand-in reads and writes it.
+//! Counts the traffic on the connections of a stand-in, as the stand-in reads and writes it.
 
 use serde::{Deserialize, Serialize};
 use std::ops::Sub;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters shared by the connections of one stand-in.
+/// Counters that the connections of one stand-in share.
 #[derive(Debug, Default)]
 pub struct Traffic {
     read: AtomicU64,
@@ -13,37 +13,37 @@
     messages: AtomicU64,
 }
 
-/// Counts up to a moment, or between two.
+/// The counts up to a point in time, or between two points in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficCount {
-    /// Bytes that the stand-in read.
+    /// Bytes read by the stand-in.
     pub read: u64,
-    /// Bytes that it wrote.
+    /// Bytes written by the stand-in.
     pub written: u64,
-    /// Connections that it accepted or opened.
+    /// Connections accepted or opened by the stand-in.
     pub connections: u64,
-    /// Complete messages that it read.
+    /// Complete messages read by the stand-in.
     pub messages: u64,
 }
 
 impl Traffic {
-    /// Counts a connection that was established.
+    /// Counts an established connection.
     pub fn count_connection(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
-    /// Counts bytes that were read.
+    /// Counts bytes read.
     pub fn count_read(&self, bytes: usize) {
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
     }
-    /// Counts bytes that were written.
+    /// Counts bytes written.
     pub fn count_written(&self, bytes: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
     }
-    /// Counts a complete message that was read.
+    /// Counts a complete message read.
     pub fn count_message(&self) {
         self.messages.fetch_add(1, Ordering::Relaxed);
     }
-    /// The counts as of now.
+    /// Returns the current counts.
     #[must_use]
     pub fn count(&self) -> TrafficCount {
         TrafficCount {
--- a/crates/rig/src/worker.rs
+++ b/crates/rig/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker's state: whether it is up, what it runs, what waits there, and its connections.
+//! The state of a worker: whether it is up, its running and queued jobs, and its connections.
 
 use crate::time::Micros;
 use parking_lot::{Mutex, MutexGuard};
@@ -7,26 +7,26 @@
 /// The state of a worker.
 #[derive(Default)]
 pub(crate) struct WorkerState {
-    /// When its process started; none: long ago.
+    /// When its process started; none if that was before the run.
     pub(crate) started_at: Option<Micros>,
-    /// Its incarnation: jobs of a former one are lost.
+    /// Its incarnation: jobs of an earlier one are lost.
     pub(crate) incarnation: u32,
-    /// The number of its address: nobody listens at a former one.
+    /// The number of its address: it no longer listens at earlier ones.
     pub(crate) address: u32,
-    pub(crate) up: bool,
-    /// Ids of the jobs that run.
-    pub(crate) running: Vec<String>,
-    /// Ids of the jobs in its queue.
-    pub(crate) waiting: VecDeque<String>,
+    pub(crate) is_up: bool,
+    /// Ids of the running jobs.
+    pub(crate) running_jobs: Vec<String>,
+    /// Ids of the queued jobs.
+    pub(crate) queued_jobs: VecDeque<String>,
     pub(crate) open_connections: usize,
 }
 
 /// The load that a worker reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerLoad {
-    /// Slots without a job.
+    /// Free slots.
     pub free_slots: usize,
-    /// Jobs in its queue.
+    /// Queued jobs.
     pub queue_length: usize,
 }
 
@@ -36,14 +36,14 @@
 }
 
 impl Default for Worker {
-    /// A worker that has been up for long.
+    /// A worker that started before the run and is warm.
     fn default() -> Worker {
-        Worker { state: Mutex::new(WorkerState { up: true, ..WorkerState::default() }) }
+        Worker { state: Mutex::new(WorkerState { is_up: true, ..WorkerState::default() }) }
     }
 }
 
 impl Worker {
-    /// The name of a worker.
+    /// The unique name of a worker in the endpoint list.
     #[must_use]
     pub fn uid(number: usize) -> String {
         format!("s-{number:04}")
@@ -53,19 +53,19 @@
         self.state.lock()
     }
 
-    /// Its process starts.
+    /// Starts its process, as a new incarnation.
     pub fn start(&self, now: Micros) {
         let mut state = self.state();
         *state = WorkerState {
             started_at: Some(now),
             incarnation: state.incarnation + 1,
             address: state.address,
-            up: true,
+            is_up: true,
             ..WorkerState::default()
         };
     }
 
-    /// Its process ends, with all its jobs and connections.
+    /// Ends its process, with all its jobs and connections.
     pub fn kill(&self) {
         let mut state = self.state();
         *state = WorkerState {
@@ -76,20 +76,20 @@
         };
     }
 
-    /// It continues at another address; the number of that.
+    /// Moves the worker to another address and returns the number of that.
     pub fn change_address(&self) -> u32 {
         let mut state = self.state();
         state.address += 1;
         state.address
     }
 
-    /// Its load, with so many slots.
+    /// Its load, with the given number of slots.
     #[must_use]
     pub fn load(&self, slots: usize) -> WorkerLoad {
         let state = self.state();
         WorkerLoad {
-            free_slots: slots.saturating_sub(state.running.len()),
-            queue_length: state.waiting.len(),
+            free_slots: slots.saturating_sub(state.running_jobs.len()),
+            queue_length: state.queued_jobs.len(),
         }
     }
 }
