--- a/crates/rig/src/dispatcher_process.rs
+++ b/crates/rig/src/dispatcher_process.rs
@@ -125,17 +125,17 @@
 fn rewrite_config(spec: &DispatcherSpec) -> io::Result<()> {
     let path = spec.config_path();
     let text = std::fs::read_to_string(&path)?;
-    let present = format!("\"{}\"", spec.list_service);
+    let current = format!("\"{}\"", spec.list_service);
     let moved = format!("\"{}\"", spec.moved_list_service);
-    std::fs::write(&path, text.replace(&present, &moved))
+    std::fs::write(&path, text.replace(&current, &moved))
 }
 
 fn spawn(mut command: Command, spec: &DispatcherSpec, settings: &StartSettings<'_>) -> io::Result<Process> {
-    let temporary = spec.folder.join("tmp");
-    std::fs::create_dir_all(&temporary)?;
+    let temp_dir = spec.folder.join("tmp");
+    std::fs::create_dir_all(&temp_dir)?;
     let path = spec.config_path();
     write_config(&path, spec, settings)?;
-    command.arg("serve").arg("--config").arg(&path).env("TMPDIR", &temporary);
+    command.arg("serve").arg("--config").arg(&path).env("TMPDIR", &temp_dir);
     if let Some(operator_settings) = &settings.scenario.operator_settings {
         let path = spec.folder.join("operator.toml");
         std::fs::write(&path, operator_settings)?;
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -49,7 +49,7 @@
     processes: Vec<Option<DispatcherProcess>>,
     failures: Vec<String>,
     peak_usage: ResourceUsage,
-    _folder: tempfile::TempDir,
+    _directory: tempfile::TempDir,
     _net_claim: NetClaim,
 }
 
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -32,7 +32,7 @@
     // A single worker thread: with several, one may fire the timeout of a wait that another is still setting up, and panic
     // ("Node value is None" and others, may 0.3.51), which would end the stand-ins of all runs.
     may::config().set_workers(1).set_stack_size(COROUTINE_STACK_WORDS);
-    let folder = tempfile::tempdir()?;
+    let directory = tempfile::tempdir()?;
     let ports = Ports { listen: free_port()?, admin: free_port()? };
     let claim = claim_net()?;
     let mut dispatchers = Vec::new();
@@ -42,7 +42,7 @@
             current: TcpListener::bind(ANY_PORT)?,
             moved: TcpListener::bind(ANY_PORT)?,
         };
-        dispatchers.push(dispatcher_spec(number, claim.net, &ports, &listeners, folder.path())?);
+        dispatchers.push(dispatcher_spec(number, claim.net, &ports, &listeners, directory.path())?);
         list_listeners.push(listeners);
     }
     let worker_listeners = bind_listeners(scenario.worker_count)?;
@@ -63,7 +63,7 @@
         processes,
         failures: Vec::new(),
         peak_usage: ResourceUsage::default(),
-        _folder: folder,
+        _directory: directory,
         _net_claim: claim,
     })
 }
@@ -79,7 +79,7 @@
     net: u8,
     ports: &Ports,
     listeners: &ListServiceListeners,
-    folder: &Path,
+    directory: &Path,
 ) -> io::Result<DispatcherSpec> {
     let ip = address(net, number);
     Ok(DispatcherSpec {
@@ -88,7 +88,7 @@
         admin: SocketAddr::from((ip, ports.admin)),
         list_service: listeners.current.local_addr()?,
         moved_list_service: listeners.moved.local_addr()?,
-        folder: folder.join(format!("n{number}")),
+        folder: directory.join(format!("n{number}")),
     })
 }
 
