--- a/dispatcher/tests/common/faults/mod.rs
+++ b/dispatcher/tests/common/faults/mod.rs
@@ -1,5 +1,5 @@
-//! Fault injection: a library that a test preloads into a dispatcher. System calls fail as Linux documents, the wall clock is
-//! stepped, and writes are delayed (see `faults.c`). Each test binary builds it once with the system's C compiler.
+//! Fault injection by a library that is preloaded into a dispatcher: system calls fail as Linux documents, the wall clock is
+//! stepped, and writes are delayed (see `faults.c`). Each test binary builds the library once with the system's C compiler.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -19,19 +19,19 @@
         self.0.push((variable, value.to_string()));
         self
     }
-    /// The variables and `LD_PRELOAD` with the library; none without faults.
+    /// These variables and `LD_PRELOAD` with the library; nothing without faults.
     pub fn environment(&self) -> Vec<(String, String)> {
         let preload = ("LD_PRELOAD", library().display().to_string());
         let all = self.0.iter().cloned().chain([preload]).filter(|_| !self.0.is_empty());
         all.map(|(variable, value)| (variable.to_owned(), value)).collect()
     }
-    /// Sets this environment for a command.
+    /// Adds the environment to a command.
     pub fn apply(&self, command: &mut Command) {
         command.envs(self.environment());
     }
 }
 
-/// The path of the library, which is built on first use.
+/// The path of the library. It is built on first use.
 fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
--- a/dispatcher/tests/rig.rs
+++ b/dispatcher/tests/rig.rs
@@ -1,4 +1,4 @@
-//! Several dispatchers as processes, with faults between them: the scenarios of the rig at their own size.
+//! The scenarios of the rig in full size: several dispatchers as processes, with faults.
 
 use roselock_rig::run::{RunOptions, play};
 use roselock_rig::scenario::all;
@@ -36,7 +36,7 @@
 #[case("door")]
 #[case("dials")]
 fn all_rules_are_kept(#[case] name: &str) {
-    // RIG_SEED repeats a seed that failed.
+    // Set RIG_SEED to repeat a failed seed.
     let seed = std::env::var("RIG_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(1);
     let scenario = all().into_iter().find(|scenario| scenario.name == name).expect("unknown scenario");
     let program = env!("CARGO_BIN_EXE_roselock").into();
--- a/dispatcher/tests/withdrawals.rs
+++ b/dispatcher/tests/withdrawals.rs
@@ -1,12 +1,12 @@
-//! Withdrawals: jobs that a host has accepted and not started migrate.
+//! Withdrawals: a job that its host has accepted but not started migrates to another host.
 
 mod common;
 use common::http_front::DONE_FIELDS;
 use common::*;
 use rstest::rstest;
 
-/// A host has accepted the job `c1` and does not start it, and another host becomes ready; the withdrawal has
-/// been sent.
+/// Starts a dispatcher whose first host has accepted the job `c1` without starting it when the second host becomes
+/// ready. The withdrawal has been received on the returned upstream connection.
 fn start_with_stalled_job(first: &Host, second: &Host) -> (MockDiscovery, Dispatcher, HttpPeer, HttpPeer) {
     let discovery = MockDiscovery::start();
     let shared = settings(0.0, 2.0).replace(r#""fleetSize":1"#, r#""fleetSize":2"#);
@@ -25,13 +25,13 @@
     (discovery, dispatcher, client, peer)
 }
 
-/// A job that its host has accepted but not started migrates once the host has answered the withdrawal:
-/// before that a second attempt could overtake the withdrawal, and the host would run a second copy.
+/// A job migrates only once its host has responded to the withdrawal. A second attempt that overtakes the withdrawal
+/// could make the host run a second copy.
 #[rstest]
 fn a_job_migrates_only_after_its_withdrawal_is_answered() {
     let (first, second) = (Host::new("s-1"), Host::new("s-2"));
     let (_discovery, dispatcher, mut client, mut peer) = start_with_stalled_job(&first, &second);
-    // A later job is sent before it.
+    // A later job is sent before the withdrawn one.
     let _other = dispatcher.send_request("c2", "pay", 10.0);
     assert_eq!(second.accept_job().1.header("x-call-id"), Some("c2"));
     assert_eq!(dispatcher.send_callback("c2", "s-2", r#""state":"started""#), 204);
@@ -41,7 +41,7 @@
     assert_eq!(client.read().expect("no response").status(), 200);
 }
 
-/// The callback that ends an attempt may cross its withdrawal, to which the host may then respond with any
+/// The callback that ends an attempt may cross its withdrawal. The host may then respond to the withdrawal with any
 /// status.
 #[rstest]
 #[case::done(DONE_FIELDS)]
