--- a/crates/peers/src/codec.rs
+++ b/crates/peers/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of packets and frames, and of foca's messages within them.
+//! Encoding of packets and frames, and of the foca messages in them.
 
 use crate::member::Member;
 use crate::wire::{self, FORMAT, Frame, FrameBody, Packet, PacketBody};
@@ -8,28 +8,28 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-/// Longest datagram, in bytes.
-pub const MAX_DATAGRAM: usize = 1400;
-/// Bytes of it that are reserved for the envelope of a SWIM message.
+/// The maximum length of a datagram, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+/// The bytes of a datagram that are reserved for the envelope of a SWIM message.
 pub const ENVELOPE_BYTES: usize = 24;
-/// Longest frame.
-pub const MAX_FRAME: usize = 1 << 20;
+/// The maximum length of a frame, in bytes, without its length prefix.
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Why a datagram or frame was rejected.
+/// The reason for rejecting a datagram or frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
-pub enum Rejected {
-    /// It is malformed.
-    #[error("it is malformed")]
-    Garbage,
-    /// It is of another format.
-    #[error("it is of another format")]
-    Format,
-    /// It is of another cluster.
-    #[error("it is of another cluster")]
-    Cluster,
-}
-
-/// The hash that stands for a cluster's name.
+pub enum RejectReason {
+    /// The message is malformed or too long.
+    #[error("message is malformed or too long")]
+    Malformed,
+    /// The format differs from [`FORMAT`].
+    #[error("message has another format")]
+    FormatMismatch,
+    /// The sender belongs to another cluster.
+    #[error("message is from another cluster")]
+    ClusterMismatch,
+}
+
+/// Hashes the name of a cluster.
 pub fn cluster_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
@@ -42,17 +42,17 @@
 /// Decodes a datagram of this cluster.
 ///
 /// # Errors
-/// Why it was rejected: malformed, too long, of another format or of another cluster.
-pub fn decode_packet(cluster: u64, bytes: &[u8]) -> Result<PacketBody, Rejected> {
-    if bytes.len() > MAX_DATAGRAM {
-        return Err(Rejected::Garbage);
+/// The datagram is malformed, too long, of another format or from another cluster.
+pub fn decode_packet(cluster: u64, bytes: &[u8]) -> Result<PacketBody, RejectReason> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(RejectReason::Malformed);
     }
-    let packet = Packet::decode(bytes).map_err(|_| Rejected::Garbage)?;
-    check(cluster, packet.format, packet.cluster)?;
-    packet.body.ok_or(Rejected::Garbage)
+    let packet = Packet::decode(bytes).map_err(|_| RejectReason::Malformed)?;
+    check_envelope(cluster, packet.format, packet.cluster)?;
+    packet.body.ok_or(RejectReason::Malformed)
 }
 
-/// Encodes a frame, behind its length in four bytes.
+/// Encodes a frame, prefixed by its length as four bytes.
 pub fn encode_frame(cluster: u64, from: &Member, body: FrameBody) -> Vec<u8> {
     let frame = Frame { format: FORMAT, cluster, from: Some(from.to_wire()), body: Some(body) };
     let mut bytes = Vec::with_capacity(frame.encoded_len() + 4);
@@ -61,69 +61,69 @@
     bytes
 }
 
-/// Decodes a frame without its length: its sender and its body.
+/// Decodes a frame without its length prefix into its sender and body.
 ///
 /// # Errors
 /// As [`decode_packet`].
-pub fn decode_frame(cluster: u64, bytes: &[u8]) -> Result<(Member, FrameBody), Rejected> {
-    if bytes.len() > MAX_FRAME {
-        return Err(Rejected::Garbage);
+pub fn decode_frame(cluster: u64, bytes: &[u8]) -> Result<(Member, FrameBody), RejectReason> {
+    if bytes.len() > MAX_FRAME_BYTES {
+        return Err(RejectReason::Malformed);
     }
-    let frame = Frame::decode(bytes).map_err(|_| Rejected::Garbage)?;
-    check(cluster, frame.format, frame.cluster)?;
-    let from = frame.from.as_ref().and_then(Member::from_wire).ok_or(Rejected::Garbage)?;
-    Ok((from, frame.body.ok_or(Rejected::Garbage)?))
+    let frame = Frame::decode(bytes).map_err(|_| RejectReason::Malformed)?;
+    check_envelope(cluster, frame.format, frame.cluster)?;
+    let from = frame.from.as_ref().and_then(Member::from_wire).ok_or(RejectReason::Malformed)?;
+    Ok((from, frame.body.ok_or(RejectReason::Malformed)?))
 }
 
-/// The name of the sender of a frame of any cluster, for a relay between members.
-pub fn sender(bytes: &[u8]) -> Option<String> {
+/// Returns the name of the sender of a frame of any cluster, for a relay between members.
+pub fn sender_name(bytes: &[u8]) -> Option<String> {
     Frame::decode(bytes).ok()?.from.map(|from| from.name)
 }
 
-fn check(ours: u64, format: u32, theirs: u64) -> Result<(), Rejected> {
+fn check_envelope(ours: u64, format: u32, theirs: u64) -> Result<(), RejectReason> {
     if format != FORMAT {
-        return Err(Rejected::Format);
+        return Err(RejectReason::FormatMismatch);
     }
     if theirs != ours {
-        return Err(Rejected::Cluster);
+        return Err(RejectReason::ClusterMismatch);
     }
     Ok(())
 }
 
-/// Header kinds that belong to probes.
+/// The header kinds of probes and their acknowledgements.
 pub const PROBE_KINDS: std::ops::RangeInclusive<u32> = 1..=6;
 
-/// What the codec has observed of the messages that passed through it.
+/// Observations of the codec about the messages that it has encoded and decoded.
 #[derive(Debug, Default)]
 pub struct Observed {
-    /// Direct probes sent.
+    /// The number of direct probes sent.
     pub pings: AtomicU32,
-    /// Acknowledgements of them received.
+    /// The number of acknowledgements of direct probes received.
     pub acks: AtomicU32,
-    /// The latest generation seen under our own address.
-    pub generation: AtomicU64,
-    /// The kind of the header that was encoded last.
-    pub kind: AtomicU32,
+    /// The highest generation received for this member's own address.
+    pub own_address_generation: AtomicU64,
+    /// The kind of the last encoded header.
+    pub last_header_kind: AtomicU32,
 }
 
-/// Encodes foca's headers and members.
+/// Encodes and decodes foca's headers and members.
 pub struct Codec {
-    /// Our own address.
-    pub me: std::net::SocketAddr,
-    /// What it observes.
-    pub seen: Arc<Observed>,
+    /// This member's own address.
+    pub own_address: std::net::SocketAddr,
+    /// The observations, shared with the membership.
+    pub observed: Arc<Observed>,
 }
 
-/// A message does not fit, or is malformed.
+/// A message exceeds the buffer, or is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("does not fit, or makes no sense")]
-pub struct Malformed;
+#[error("message exceeds the buffer or is malformed")]
+pub struct CodecError;
 
-fn write_delimited(message: &impl prost::Message, mut buf: impl BufMut) -> Result<(), Malformed> {
-    message.encode_length_delimited(&mut buf).map_err(|_| Malformed)
+fn write_delimited(message: &impl prost::Message, mut buf: impl BufMut) -> Result<(), CodecError> {
+    message.encode_length_delimited(&mut buf).map_err(|_| CodecError)
 }
 
-/// Encodes a member's state.
+/// Converts a member's state to its wire representation.
 pub fn state_to_wire(member: &foca::Member<Member>) -> wire::MemberState {
     let state = match member.state() {
         State::Alive => 1,
@@ -134,33 +134,33 @@
     wire::MemberState { member: Some(member.id().to_wire()), incarnation, state }
 }
 
-/// Decodes a member's state.
+/// Converts the wire representation of a member's state; returns `None` if it is malformed.
 pub fn state_from_wire(state: &wire::MemberState) -> Option<foca::Member<Member>> {
     let id = Member::from_wire(state.member.as_ref()?)?;
-    let how = match state.state {
+    let foca_state = match state.state {
         1 => State::Alive,
         2 => State::Suspect,
         3 => State::Down,
         _ => return None,
     };
-    Some(foca::Member::new(id, u16::try_from(state.incarnation).ok()?, how))
+    Some(foca::Member::new(id, u16::try_from(state.incarnation).ok()?, foca_state))
 }
 
 impl Codec {
-    fn note_generation(&self, member: &Member) {
-        if member.address == self.me {
-            self.seen.generation.fetch_max(member.generation, Ordering::Relaxed);
+    fn record_generation(&self, member: &Member) {
+        if member.address == self.own_address {
+            self.observed.own_address_generation.fetch_max(member.generation, Ordering::Relaxed);
         }
     }
 }
 
 impl foca::Codec<Member> for Codec {
-    type Error = Malformed;
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), Malformed> {
+    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), CodecError> {
         let (kind, about, probe) = match &header.message {
             Message::Ping(n) => {
-                self.seen.pings.fetch_add(1, Ordering::Relaxed);
+                self.observed.pings.fetch_add(1, Ordering::Relaxed);
                 (1, None, *n)
             }
             Message::Ack(n) => (2, None, *n),
@@ -174,7 +174,7 @@
             Message::Broadcast => (10, None, 0),
             Message::TurnUndead => (11, None, 0),
         };
-        self.seen.kind.store(kind, Ordering::Relaxed);
+        self.observed.last_header_kind.store(kind, Ordering::Relaxed);
         let header = wire::Header {
             source: Some(header.src.to_wire()),
             incarnation: u32::from(header.src_incarnation),
@@ -186,16 +186,16 @@
         write_delimited(&header, buf)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, Malformed> {
-        let header = wire::Header::decode_length_delimited(buf).map_err(|_| Malformed)?;
-        let member = |m: &Option<wire::Identity>| m.as_ref().and_then(Member::from_wire).ok_or(Malformed);
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, CodecError> {
+        let header = wire::Header::decode_length_delimited(buf).map_err(|_| CodecError)?;
+        let member = |m: &Option<wire::Identity>| m.as_ref().and_then(Member::from_wire).ok_or(CodecError);
         let (src, dst) = (member(&header.source)?, member(&header.destination)?);
-        let probe = header.probe.try_into().map_err(|_| Malformed)?;
+        let probe = header.probe.try_into().map_err(|_| CodecError)?;
         let about = || member(&header.about);
         let message = match header.kind {
             1 => Message::Ping(probe),
             2 => {
-                self.seen.acks.fetch_add(1, Ordering::Relaxed);
+                self.observed.acks.fetch_add(1, Ordering::Relaxed);
                 Message::Ack(probe)
             }
             3 => Message::PingReq { target: about()?, probe_number: probe },
@@ -207,41 +207,41 @@
             9 => Message::Gossip,
             10 => Message::Broadcast,
             11 => Message::TurnUndead,
-            _ => return Err(Malformed),
+            _ => return Err(CodecError),
         };
-        self.note_generation(&dst);
-        let src_incarnation = u16::try_from(header.incarnation).map_err(|_| Malformed)?;
+        self.record_generation(&dst);
+        let src_incarnation = u16::try_from(header.incarnation).map_err(|_| CodecError)?;
         Ok(Header { src, src_incarnation, dst, message })
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), Malformed> {
+    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), CodecError> {
         write_delimited(&state_to_wire(member), buf)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, Malformed> {
-        let state = wire::MemberState::decode_length_delimited(buf).map_err(|_| Malformed)?;
-        let member = state_from_wire(&state).ok_or(Malformed)?;
-        self.note_generation(member.id());
+    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, CodecError> {
+        let state = wire::MemberState::decode_length_delimited(buf).map_err(|_| CodecError)?;
+        let member = state_from_wire(&state).ok_or(CodecError)?;
+        self.record_generation(member.id());
         Ok(member)
     }
 }
 
-/// The sender of a SWIM message, as a member alive in its incarnation.
+/// Returns the sender of a SWIM message, as alive in the incarnation that the message states.
 pub fn sender_state(swim: &[u8]) -> Option<wire::MemberState> {
     let header = wire::Header::decode_length_delimited(swim).ok()?;
     Some(wire::MemberState { member: Some(header.source?), incarnation: header.incarnation, state: 1 })
 }
 
-/// The members that a SWIM message names, its sender first.
+/// Returns the members that a SWIM message contains, its sender first.
 pub fn named_members(swim: &[u8]) -> Option<Vec<Member>> {
-    let mut rest = swim;
-    let header = wire::Header::decode_length_delimited(&mut rest).ok()?;
+    let mut remaining = swim;
+    let header = wire::Header::decode_length_delimited(&mut remaining).ok()?;
     let mut named = vec![Member::from_wire(header.source.as_ref()?)?];
-    if rest.len() < 2 {
+    if remaining.len() < 2 {
         return Some(named);
     }
-    for _ in 0..rest.get_u16() {
-        let state = wire::MemberState::decode_length_delimited(&mut rest).ok()?;
+    for _ in 0..remaining.get_u16() {
+        let state = wire::MemberState::decode_length_delimited(&mut remaining).ok()?;
         named.push(Member::from_wire(state.member.as_ref()?)?);
     }
     Some(named)
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,4 +1,4 @@
-//! Dispatchers in one membership: failure detection, dissemination of the host list, and the size of the fleet.
+//! Cluster membership of dispatchers: failure detection, dissemination of the host list, and the size of the fleet.
 
 pub mod codec;
 pub mod lists;
@@ -9,8 +9,8 @@
 pub mod watchers;
 pub mod wire;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// One second.
+/// One second in [`Micros`].
 pub const SECOND: Micros = 1_000_000;
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -1,64 +1,64 @@
-//! The host list of one member: its version, its recent changes, and what to disseminate. Only lists of the discovery
-//! service are disseminated, and those of other members whose version and digest match.
+//! The host list of one member: its version, its recent changes, and what to disseminate. A list is disseminated only
+//! if it comes from the discovery service, or from another member with a matching version and digest.
 
 use crate::Micros;
 use crate::wire::{Change, Listing, Target, Version};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The limit of the changes that are stored for members that have missed some.
-const MAX_HISTORY: usize = 64;
-/// The limit of their size, in bytes.
+/// The maximum number of recent changes that are stored for members that have missed some.
+const MAX_HISTORY_CHANGES: usize = 64;
+/// The maximum encoded size of the stored changes, in bytes.
 const MAX_HISTORY_BYTES: usize = 64 * 1024;
-/// The state of a host that is gone.
+/// The state of a host that has been removed from the list.
 pub const GONE: u32 = 3;
 
-/// A list, or a change of it, from the discovery service.
+/// A complete list, or a change of the list, from the discovery service.
 #[derive(Clone, Debug, Default)]
 pub struct ListUpdate {
-    /// Whether it is complete.
+    /// Whether the list is complete; otherwise it contains only the changed hosts.
     pub complete: bool,
-    /// Its revision.
+    /// The revision of the list after this update.
     pub rev: u64,
-    /// Its hosts.
+    /// All hosts, or the changed ones.
     pub targets: Vec<Target>,
-    /// When the request for it began, for a complete one.
+    /// When the request was sent, for a complete list.
     pub requested_at: Micros,
 }
 
-/// An update of the hosts of the decisions.
+/// An update of the hosts that the dispatch decisions use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostsUpdate {
-    /// Whether the list is complete; else it has only the changed hosts.
+    /// Whether the list is complete; otherwise it contains only the changed hosts.
     pub complete: bool,
-    /// The hosts.
+    /// All hosts, or the changed ones.
     pub hosts: Vec<Target>,
     /// The age of the list.
     pub age: Micros,
 }
 
-/// What follows from an update.
+/// An action that results from an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListAction {
-    /// Update the hosts of the decisions.
+    /// Update the hosts that the dispatch decisions use.
     Update(HostsUpdate),
-    /// Disseminate the new version, with the change that leads to it if there is one.
+    /// Disseminate the new version, with the change that leads to it unless the list was replaced.
     Disseminate(Option<Change>),
     /// Pull the missing changes from the member that has them.
     Pull,
-    /// Request the complete list from the service: the current list contradicts another one.
+    /// Request the complete list from the discovery service.
     Reload(ReloadReason),
 }
 
 /// Why the complete list is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadReason {
-    /// There are two different lists of one version.
+    /// Two different lists have the same revision.
     Conflict,
-    /// While the request was in flight, a later list arrived from other members.
-    Overtaken,
-    /// The watch belongs to an earlier instance of the service.
-    EarlierService,
+    /// A later list arrived from other members while the request was in flight.
+    StaleResponse,
+    /// The watch belongs to an instance of the service from before a restart.
+    ServiceRestarted,
 }
 
 /// The position of a version in the order of versions.
@@ -79,7 +79,7 @@
 struct CurrentList {
     version: Version,
     hosts: BTreeMap<String, Target>,
-    /// When the service was last heard, by this member or another.
+    /// When this member or another one last received a message from the discovery service.
     service_heard_at: Micros,
     /// When this version was received.
     received_at: Micros,
@@ -89,15 +89,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Lists {
     current: Option<CurrentList>,
-    /// The latest revision from our own watch, while it is open.
-    watch: Option<Revision>,
+    /// The latest revision received on this member's own watch; none while the watch is closed.
+    watched_revision: Option<Revision>,
     history: VecDeque<Change>,
     history_bytes: usize,
-    /// A revision with two different lists: it is not disseminated until the service has sent a list.
-    conflicting: Option<Revision>,
+    /// A revision with two different lists, which is not disseminated until the service has sent a complete list.
+    conflicting_revision: Option<Revision>,
 }
 
-/// The hash of a host; the digest of a list is the sum over its hosts.
+/// Hashes a host. The digest of a list is the wrapping sum of the hashes of its hosts.
 fn host_hash(target: &Target) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&target.encode_to_vec())
 }
@@ -106,36 +106,36 @@
     hosts.fold(0, |sum, host| sum.wrapping_add(host_hash(host)))
 }
 
-/// The hosts of a complete list by name, without those that are gone.
+/// Maps the hosts of a complete list by name, without removed ones.
 fn hosts_by_name(targets: &[Target]) -> BTreeMap<String, Target> {
     let present = targets.iter().filter(|target| target.state != GONE);
     present.map(|target| (target.uid.clone(), target.clone())).collect()
 }
 
-/// The actions without [`ListAction::Pull`].
+/// Removes [`ListAction::Pull`] from the actions.
 fn without_pull(actions: Vec<ListAction>) -> Vec<ListAction> {
     actions.into_iter().filter(|action| *action != ListAction::Pull).collect()
 }
 
 impl Lists {
-    /// The version of the current list.
+    /// Returns the version of the current list.
     pub fn version(&self) -> Option<Version> {
         self.current.as_ref().map(|current| current.version)
     }
-    /// The number of hosts.
+    /// Returns the number of hosts in the current list.
     pub fn hosts(&self) -> usize {
         self.current.as_ref().map_or(0, |current| current.hosts.len())
     }
-    /// The age of the list: how long ago the service was last heard, by this member or another.
+    /// Returns the time since this member or another one last received a message from the discovery service.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.current.as_ref().map(|current| (now - current.service_heard_at).max(0))
     }
-    /// Whether our own watch is open.
-    pub fn watches(&self) -> bool {
-        self.watch.is_some()
+    /// Returns whether this member's own watch is open.
+    pub fn is_watching(&self) -> bool {
+        self.watched_revision.is_some()
     }
 
-    /// Applies an update from our own request or watch.
+    /// Applies an update from this member's own request or watch.
     pub fn service_update(&mut self, now: Micros, update: ListUpdate) -> Vec<ListAction> {
         if update.complete { self.apply_complete(now, update) } else { self.apply_change(now, update) }
     }
@@ -150,15 +150,15 @@
                 let is_earlier =
                     update.rev < current.version.rev || (update.rev == current.version.rev && !same);
                 if is_earlier && current.received_at >= update.requested_at {
-                    return vec![ListAction::Reload(ReloadReason::Overtaken)];
+                    return vec![ListAction::Reload(ReloadReason::StaleResponse)];
                 }
-                // A later response with an earlier list: the service has restarted.
+                // A more recent response with an earlier revision shows that the service has restarted.
                 current.version.generation + u64::from(is_earlier)
             }
         };
-        self.conflicting = None;
+        self.conflicting_revision = None;
         let version = Version { generation, rev: update.rev, digest };
-        self.watch = Some(Revision::of(&version));
+        self.watched_revision = Some(Revision::of(&version));
         let is_new = self.version() != Some(version);
         self.replace(version, hosts, now, now);
         let mut actions =
@@ -171,25 +171,25 @@
     }
 
     fn apply_change(&mut self, now: Micros, update: ListUpdate) -> Vec<ListAction> {
-        let Some(watch) = self.watch else {
-            return vec![ListAction::Reload(ReloadReason::EarlierService)];
+        let Some(watch) = self.watched_revision else {
+            return vec![ListAction::Reload(ReloadReason::ServiceRestarted)];
         };
         let Some(current) = &mut self.current else {
-            return vec![ListAction::Reload(ReloadReason::EarlierService)];
+            return vec![ListAction::Reload(ReloadReason::ServiceRestarted)];
         };
         let generation = watch.generation;
         if current.version.generation != generation {
-            self.watch = None;
-            return vec![ListAction::Reload(ReloadReason::EarlierService)];
+            self.watched_revision = None;
+            return vec![ListAction::Reload(ReloadReason::ServiceRestarted)];
         }
         current.service_heard_at = now;
-        self.watch = Some(Revision { generation, rev: watch.rev.max(update.rev) });
+        self.watched_revision = Some(Revision { generation, rev: watch.rev.max(update.rev) });
         if update.rev <= current.version.rev {
             return Vec::new();
         }
         let before = current.version;
         let revision = Revision { generation, rev: update.rev };
-        let after = self.apply_targets(revision, &update.targets, now, now);
+        let after = self.apply_changed_hosts(revision, &update.targets, now, now);
         let change = Change {
             from: None,
             before: Some(before),
@@ -203,17 +203,17 @@
         vec![ListAction::Update(hosts_update), ListAction::Disseminate(Some(change))]
     }
 
-    /// Our own watch has been opened; it continues from the current version.
+    /// Records that this member's own watch has been opened; it continues from the current version.
     pub fn watch_opened(&mut self, now: Micros) {
         if let Some(current) = &mut self.current {
             current.service_heard_at = now;
-            self.watch = Some(Revision::of(&current.version));
+            self.watched_revision = Some(Revision::of(&current.version));
         }
     }
 
-    /// A keep-alive of our own watch.
-    pub fn watch_alive(&mut self, now: Micros) {
-        let Some(watch) = self.watch else { return };
+    /// Records a keep-alive message on this member's own watch.
+    pub fn receive_keep_alive(&mut self, now: Micros) {
+        let Some(watch) = self.watched_revision else { return };
         if let Some(current) = &mut self.current
             && current.version.generation == watch.generation
         {
@@ -221,12 +221,12 @@
         }
     }
 
-    /// Our own watch has ended.
+    /// Records that this member's own watch has ended.
     pub fn watch_closed(&mut self) {
-        self.watch = None;
+        self.watched_revision = None;
     }
 
-    /// Compares the version of another member, whose list has this age.
+    /// Compares the version of another member's list, which has this age, with the current one.
     pub fn receive_version(&mut self, now: Micros, theirs: &Version, age: Micros) -> Vec<ListAction> {
         let Some(current) = &mut self.current else { return vec![ListAction::Pull] };
         if *theirs == current.version {
@@ -243,17 +243,19 @@
         }
     }
 
-    /// Requests the complete list, once per conflicting revision.
+    /// Returns a request for the complete list, once per conflicting revision.
     fn report_conflict(&mut self, revision: Revision) -> Vec<ListAction> {
-        if self.conflicting.replace(revision) == Some(revision) {
+        if self.conflicting_revision.replace(revision) == Some(revision) {
             return Vec::new();
         }
         vec![ListAction::Reload(ReloadReason::Conflict)]
     }
 
-    /// Whether the current list may be shared with other members.
+    /// Returns whether the current list may be shared with other members.
     pub fn may_share(&self) -> bool {
-        self.current.as_ref().is_some_and(|current| self.conflicting != Some(Revision::of(&current.version)))
+        self.current
+            .as_ref()
+            .is_some_and(|current| self.conflicting_revision != Some(Revision::of(&current.version)))
     }
 
     /// Applies a change from another member.
@@ -265,8 +267,9 @@
             return self.receive_version(now, &after, age);
         }
         let backup = current.clone();
-        let reached = self.apply_targets(Revision::of(&after), &change.targets, now - age, now);
-        if reached != after {
+        let resulting_version =
+            self.apply_changed_hosts(Revision::of(&after), &change.targets, now - age, now);
+        if resulting_version != after {
             self.current = Some(backup);
             return vec![ListAction::Pull];
         }
@@ -276,7 +279,8 @@
         vec![ListAction::Update(hosts_update), ListAction::Disseminate(Some(change))]
     }
 
-    /// The response to the pull of a member: the changes since its version, or the complete list.
+    /// Returns the response to a member's pull: the changes since its version, or the complete list if the history
+    /// does not reach that far back; none if there is no list that may be shared.
     pub fn answer_pull(&self, now: Micros, from: &Version) -> Option<Listing> {
         let current = self.current.as_ref().filter(|_| self.may_share())?;
         let age_us = (now - current.service_heard_at).max(0) as u64;
@@ -294,7 +298,7 @@
         Some(Listing { before: None, after, age_us, targets })
     }
 
-    /// Applies the response of a member to our pull.
+    /// Applies the response to a pull by this member.
     pub fn receive_listing(&mut self, now: Micros, listing: Listing) -> Vec<ListAction> {
         let Some(after) = listing.after else { return Vec::new() };
         if let Some(before) = listing.before {
@@ -305,7 +309,7 @@
                 age_us: listing.age_us,
                 targets: listing.targets,
             };
-            // Changes that no longer apply were overtaken: the next digest shows what is missing.
+            // Changes that do not apply have been superseded. Missing changes are pulled after the next digest.
             return without_pull(self.receive_change(now, change));
         }
         let age = listing.age_us as Micros;
@@ -335,7 +339,7 @@
     }
 
     /// Applies changed hosts to the current list, and returns its new version.
-    fn apply_targets(
+    fn apply_changed_hosts(
         &mut self,
         revision: Revision,
         targets: &[Target],
@@ -345,11 +349,11 @@
         let Some(current) = &mut self.current else { return Version::default() };
         let mut digest = current.version.digest;
         for target in targets {
-            let former = match target.state {
+            let replaced = match target.state {
                 GONE => current.hosts.remove(&target.uid),
                 _ => current.hosts.insert(target.uid.clone(), target.clone()),
             };
-            digest = former.map_or(digest, |former| digest.wrapping_sub(host_hash(&former)));
+            digest = replaced.map_or(digest, |replaced| digest.wrapping_sub(host_hash(&replaced)));
             if target.state != GONE {
                 digest = digest.wrapping_add(host_hash(target));
             }
@@ -360,11 +364,11 @@
         current.version
     }
 
-    /// Adds a change to the history, whose oldest changes are dropped beyond its limits.
+    /// Adds a change to the history, and drops the oldest changes beyond its limits.
     fn record_change(&mut self, change: Change) {
         self.history_bytes += change.encoded_len();
         self.history.push_back(change);
-        while self.history.len() > MAX_HISTORY || self.history_bytes > MAX_HISTORY_BYTES {
+        while self.history.len() > MAX_HISTORY_CHANGES || self.history_bytes > MAX_HISTORY_BYTES {
             let Some(first) = self.history.pop_front() else { break };
             self.history_bytes -= first.encoded_len();
         }
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -4,36 +4,37 @@
 use compact_str::CompactString;
 use std::net::{IpAddr, SocketAddr};
 
-/// Longest name, and longest name of a zone, in bytes.
-pub const MAX_NAME: usize = 64;
+/// The maximum length of a member name and of a zone name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// A member's identity: one process of a dispatcher at an address.
+/// A member's identity: one dispatcher process at an address.
 ///
-/// An address has one member: of two identities the one of the later generation wins, then that of the later renewal.
+/// An address has one member: of two identities, the one with the higher generation wins, then the one with the higher
+/// renewal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
-    /// Its name.
+    /// The dispatcher's name.
     pub name: CompactString,
-    /// Its address.
+    /// The address for datagrams and requests.
     pub address: SocketAddr,
-    /// When its process started, in milliseconds since 1970.
+    /// The start time of its process, in milliseconds since 1970.
     pub generation: u64,
-    /// How often it has renewed its identity in this generation: each time it counted as down and rejoined.
+    /// The number of identity renewals in this generation: one for each time it was declared down and rejoined.
     pub renewal: u32,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: CompactString,
-    /// Its number, from its configuration.
+    /// Its configured dispatcher number.
     pub number: u32,
 }
 
 impl Member {
-    /// The unknown member at an address.
+    /// Returns a placeholder for a member of which only the address is known.
     pub fn unknown_at(address: SocketAddr) -> Member {
-        let none = CompactString::default;
-        Member { name: none(), address, generation: 0, renewal: 0, zone: none(), number: 0 }
+        let empty = CompactString::default;
+        Member { name: empty(), address, generation: 0, renewal: 0, zone: empty(), number: 0 }
     }
 
-    /// As it is encoded.
+    /// Converts the member to its wire representation.
     pub fn to_wire(&self) -> wire::Identity {
         let ip = match self.address.ip() {
             IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -50,21 +51,21 @@
         }
     }
 
-    /// Decodes; none if that is malformed.
-    pub fn from_wire(written: &wire::Identity) -> Option<Member> {
-        let ip = match written.ip.len() {
-            4 => IpAddr::from(<[u8; 4]>::try_from(&written.ip[..]).ok()?),
-            16 => IpAddr::from(<[u8; 16]>::try_from(&written.ip[..]).ok()?),
+    /// Converts the wire representation to a member; returns `None` if it is malformed.
+    pub fn from_wire(identity: &wire::Identity) -> Option<Member> {
+        let ip = match identity.ip.len() {
+            4 => IpAddr::from(<[u8; 4]>::try_from(&identity.ip[..]).ok()?),
+            16 => IpAddr::from(<[u8; 16]>::try_from(&identity.ip[..]).ok()?),
             _ => return None,
         };
-        let address = SocketAddr::new(ip, u16::try_from(written.port).ok()?);
-        (written.name.len() <= MAX_NAME && written.zone.len() <= MAX_NAME).then(|| Member {
-            name: written.name.as_str().into(),
+        let address = SocketAddr::new(ip, u16::try_from(identity.port).ok()?);
+        (identity.name.len() <= MAX_NAME_BYTES && identity.zone.len() <= MAX_NAME_BYTES).then(|| Member {
+            name: identity.name.as_str().into(),
             address,
-            generation: written.generation,
-            renewal: written.renewal,
-            zone: written.zone.as_str().into(),
-            number: written.number,
+            generation: identity.generation,
+            renewal: identity.renewal,
+            zone: identity.zone.as_str().into(),
+            number: identity.number,
         })
     }
 }
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -1,8 +1,9 @@
-//! SWIM membership over `foca`, on a clock that leaves out time in which this process did not run.
+//! SWIM membership on top of `foca`, with timers that exclude time during which this process did not run.
 //!
-//! A. Das, I. Gupta, A. Motivala: *SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol*
-//! (2002), with suspicion; a member that runs late or gets few answers doubts itself first, after A. Dadgar,
-//! J. Phillips, J. Currey: *Lifeguard: Local Health Awareness for More Accurate Failure Detection* (2017).
+//! A. Das, I. Gupta, A. Motivala: *SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+//! Protocol* (2002), with suspicion. A member whose timers run late or whose probes get few acknowledgements extends
+//! its suspicion timeout, after A. Dadgar, J. Phillips, J. Currey: *Lifeguard: Local Health Awareness for More
+//! Accurate Failure Detection* (2017).
 
 mod collect;
 mod health;
@@ -17,7 +18,7 @@
 use collect::Collected;
 use foca::{Foca, NoCustomBroadcast, State, Timer};
 use health::LocalHealth;
-use parameters::{HEALTH_PERIOD, STALL_COUNTS_FOR, STALL_THRESHOLD};
+use parameters::{HEALTH_UPDATE_PERIOD, RECENT_STALL_WINDOW, STALL_THRESHOLD};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use seeds::Seeds;
@@ -30,64 +31,64 @@
 /// A change of the members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member is alive.
+    /// A member has joined or is alive again.
     Up(Member),
-    /// A member has failed: it is down and has not left.
+    /// A member has failed: it is down without having left.
     Lost(Member),
-    /// A member has left.
+    /// A member has left the cluster.
     Left(Member),
-    /// This member counted as down at others; it has rejoined under a later renewal.
-    Back(Member),
+    /// Other members declared this member down; it has rejoined with a higher renewal.
+    Rejoined(Member),
 }
 
-/// Members by state, this one not counted.
+/// The number of members in each state, excluding this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Alive.
+    /// Members that are alive.
     pub alive: usize,
-    /// Suspect: treated as alive until the suspicion times out.
+    /// Suspects, which are treated as alive until the suspicion times out.
     pub suspect: usize,
-    /// Down.
+    /// Members that are down and still stored.
     pub down: usize,
 }
 
-/// The messages to send and the results of a call.
+/// The messages to send and the changes that result from a call.
 #[derive(Default)]
 pub struct Output {
-    /// SWIM messages, each with its receiver; the caller puts them into packets.
+    /// SWIM messages, each with its receiver; the caller wraps them in packets.
     pub swim: Vec<(SocketAddr, Vec<u8>)>,
     /// Complete datagrams, each with its receiver.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
     /// Changes of the members.
     pub changes: Vec<Change>,
-    /// Suspects that are to be notified of the suspicion, with the suspected incarnation.
+    /// Suspects to notify of the suspicion, each with the suspected incarnation.
     pub suspicions: Vec<(Member, u32)>,
-    /// Messages rejected because they name more members than there is capacity for.
-    pub refused: u64,
+    /// The number of messages rejected because they contain more new members than can be stored.
+    pub rejected: u64,
 }
 
 type Swim = Foca<Member, Codec, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
-/// A time in which this process did not run.
+/// A period during which this process did not run.
 #[derive(Clone, Copy)]
 struct Stall {
-    /// When it was detected.
+    /// When the stall was detected.
     at: Micros,
-    /// Its length, or that of a recent longer one.
+    /// The length of this stall or of a longer recent one.
     length: Micros,
 }
 
-/// The members of the cluster as one of them sees them.
+/// One member's view of the members of the cluster.
 pub struct Membership {
     foca: Swim,
-    /// What the codec has counted of probes and seen of our own address.
+    /// The codec's probe counts, and the highest generation it has decoded for this member's own address.
     observed: Arc<Observed>,
     random: Xoshiro256PlusPlus,
-    /// foca's timers by the time that this process has run, then in the order in which they were set.
+    /// foca's timers, ordered by expiry in time excluding stalls, then by the order in which they were set.
     timers: BinaryHeap<Reverse<(Micros, u64, Timer<Member>)>>,
     timer_sequence: u64,
-    /// Time that passed while this process was stopped or starved.
-    stalled: Micros,
+    /// The total time during which this process was stopped or starved.
+    total_stall: Micros,
     latest_stall: Option<Stall>,
     health: LocalHealth,
     seeds: Seeds,
@@ -97,14 +98,15 @@
     has_left: bool,
     /// Suspects by address.
     suspects: BTreeMap<SocketAddr, Suspect>,
-    /// Whether a probe of our own is being concluded: a suspicion that begins now is ours, not one from gossip.
+    /// Whether foca is handling its probe timer: a suspicion that begins in that call stems from this member's own
+    /// probe, not from gossip.
     concluding_probe: bool,
 }
 
 impl Membership {
-    /// A cluster of this member alone.
+    /// Creates a membership that contains only this member.
     ///
-    /// `seeds` are the addresses through which it joins; at most `max_members` others are known at a time.
+    /// `seeds` are the addresses through which it joins; at most `max_members` other members are stored at a time.
     pub fn new(
         me: Member,
         seeds: Vec<SocketAddr>,
@@ -113,9 +115,9 @@
         now: Micros,
     ) -> Membership {
         let observed = Arc::new(Observed::default());
-        let codec = Codec { me: me.address, seen: observed.clone() };
+        let codec = Codec { own_address: me.address, observed: observed.clone() };
         let mut random = Xoshiro256PlusPlus::seed_from_u64(random_seed);
-        let config = parameters::foca_config(parameters::SUSPICION_RANGE[0]);
+        let config = parameters::foca_config(parameters::SUSPICION_TIMEOUT_RANGE[0]);
         let foca = Foca::new(me.clone(), config, random.clone(), codec);
         random.next_u64();
         Membership {
@@ -124,7 +126,7 @@
             random,
             timers: BinaryHeap::new(),
             timer_sequence: 0,
-            stalled: 0,
+            total_stall: 0,
             latest_stall: None,
             health: LocalHealth::new(now),
             seeds: Seeds::new(seeds, me.address, now),
@@ -136,15 +138,15 @@
         }
     }
 
-    /// This member under its present identity.
+    /// Returns the current identity of this member.
     pub fn me(&self) -> &Member {
         self.foca.identity()
     }
-    /// The other members that are alive or suspect.
+    /// Returns the other members that are alive or suspect.
     pub fn live(&self) -> &[Member] {
         &self.live
     }
-    /// The other members by state.
+    /// Counts the other members by state.
     pub fn counts(&self) -> Counts {
         let mut counts = Counts::default();
         for member in self.foca.iter_membership_state() {
@@ -156,18 +158,18 @@
         }
         counts
     }
-    /// Every other member that is known, with its state and incarnation.
+    /// Returns all other stored members with their states and incarnations.
     pub fn states(&self) -> impl Iterator<Item = &foca::Member<Member>> {
         self.foca.iter_membership_state()
     }
-    /// How long a suspect has to refute before it is down, by local health as it is now.
+    /// Returns how long a suspect has to refute before it is declared down, by the current local health.
     pub fn suspicion_timeout(&self) -> Micros {
         self.health.suspicion_timeout
     }
 
-    /// Up to `n` live members, chosen at random.
+    /// Returns up to `n` live members, chosen at random.
     pub fn sample(&mut self, n: usize) -> Vec<Member> {
-        // R. Floyd's sampling: `n` draws, whatever the number of members.
+        // R. Floyd's sampling algorithm: at most `n` draws for any number of members.
         let all = self.live.len();
         let mut drawn: Vec<usize> = Vec::with_capacity(n);
         for j in all.saturating_sub(n)..all {
@@ -177,72 +179,72 @@
         drawn.iter().map(|i| self.live[*i].clone()).collect()
     }
 
-    /// A random number, uniform in 0..1.
+    /// Returns a uniform random number in 0..1.
     pub fn random_unit(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// When [`tick`](Membership::tick) is to be called at the latest.
+    /// Returns the latest time for the next call of [`tick`](Membership::tick).
     pub fn next_deadline(&self) -> Micros {
         let timer =
-            self.timers.peek().map_or(Micros::MAX, |Reverse((at, ..))| at.saturating_add(self.stalled));
+            self.timers.peek().map_or(Micros::MAX, |Reverse((at, ..))| at.saturating_add(self.total_stall));
         let seed = if self.seeds.addresses.is_empty() { Micros::MAX } else { self.seeds.next_contact };
-        timer.min(seed).min(self.health.checked_at + HEALTH_PERIOD)
+        timer.min(seed).min(self.health.updated_at + HEALTH_UPDATE_PERIOD)
     }
 
-    /// Fires the timers that are due. Packets in the receive buffer must be handled before.
+    /// Fires the timers that are due. The caller must handle packets in the receive buffer first.
     pub fn tick(&mut self, now: Micros, out: &mut Output) {
         if let Some(Reverse((at, ..))) = self.timers.peek() {
-            let late = now - (at + self.stalled) - STALL_THRESHOLD;
-            if late > 0 {
-                // The process was stopped or starved: none of its timers runs through that time.
-                self.stalled += late;
-                let length = late.max(self.recent_stall(now));
+            let excess_delay = now - (at + self.total_stall) - STALL_THRESHOLD;
+            if excess_delay > 0 {
+                // The process was stopped or starved: all timers are postponed by that time.
+                self.total_stall += excess_delay;
+                let length = excess_delay.max(self.recent_stall(now));
                 self.latest_stall = Some(Stall { at: now, length });
             }
         }
         self.update_local_health(now);
         while let Some(Reverse((at, ..))) = self.timers.peek() {
-            if at + self.stalled > now {
+            if at + self.total_stall > now {
                 break;
             }
             let Some(Reverse((_, _, timer))) = self.timers.pop() else { break };
-            if let Some(again) = self.defer_down(now, &timer, out) {
-                if let Some(at) = again {
+            if let Some(retry_at) = self.defer_down(now, &timer, out) {
+                if let Some(at) = retry_at {
                     self.timer_sequence += 1;
-                    self.timers.push(Reverse((at - self.stalled, self.timer_sequence, timer)));
+                    self.timers.push(Reverse((at - self.total_stall, self.timer_sequence, timer)));
                 }
                 continue;
             }
             self.concluding_probe = matches!(timer, Timer::ProbeRandomMember(_));
-            self.drive(now, out, |foca, collected| foca.handle_timer(timer, collected));
+            self.call_foca(now, out, |foca, collected| foca.handle_timer(timer, collected));
             self.concluding_probe = false;
         }
         self.contact_seeds(now, out);
     }
 
-    /// The length of the latest stall, if it is recent; else 0.
+    /// Returns the length of the latest stall if it is recent, otherwise 0.
     fn recent_stall(&self, now: Micros) -> Micros {
-        let recent = self.latest_stall.filter(|stall| now - stall.at < STALL_COUNTS_FOR);
+        let recent = self.latest_stall.filter(|stall| now - stall.at < RECENT_STALL_WINDOW);
         recent.map_or(0, |stall| stall.length)
     }
 
-    /// Whether this member has left the cluster.
+    /// Returns whether this member has left the cluster.
     pub fn has_left(&self) -> bool {
         self.has_left
     }
 
-    /// Calls foca, and applies the resulting packets, timers and changes; false on an error of foca.
-    fn drive<E>(
+    /// Calls foca and applies the resulting packets, timers and changes. Returns false on an error of foca.
+    fn call_foca<E>(
         &mut self,
         now: Micros,
         out: &mut Output,
         call: impl FnOnce(&mut Swim, &mut Collected) -> Result<(), E>,
     ) -> bool {
         let mut collected = Collected::new(self.observed.clone());
-        let done = call(&mut self.foca, &mut collected).is_ok();
+        let succeeded = call(&mut self.foca, &mut collected).is_ok();
         let own_suspicion = self.concluding_probe;
-        let running_time = now - self.stalled;
+        let running_time = now - self.total_stall;
         for (timer, after) in collected.timers {
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
                 self.suspects.insert(member_id.address, Suspect::since(now));
@@ -267,6 +269,6 @@
             self.live = self.foca.iter_members().map(|member| member.id().clone()).collect();
         }
         out.changes.extend(collected.changes);
-        done
+        succeeded
     }
 }
--- a/crates/peers/src/membership/collect.rs
+++ b/crates/peers/src/membership/collect.rs
@@ -1,4 +1,4 @@
-//! The results of one call of foca: packets, timers and changes of membership.
+//! Collects the results of one call of foca: packets, timers and membership changes.
 
 use super::Change;
 use crate::codec::{Observed, PROBE_KINDS};
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Collects what one call of foca sends, schedules and reports.
+/// The messages, timers and notifications of one call of foca.
 #[derive(Default)]
 pub(super) struct Collected {
     /// SWIM messages, each with its receiver and whether it belongs to a probe.
@@ -16,7 +16,7 @@
     /// Timers, each with its delay.
     pub timers: Vec<(Timer<Member>, Duration)>,
     pub changes: Vec<Change>,
-    /// Whether foca has reported a change: the live members may have changed.
+    /// Whether foca has sent any notification, after which the live members may have changed.
     pub notified: bool,
     observed: Arc<Observed>,
 }
@@ -35,11 +35,11 @@
             Notification::MemberDown(m) => self.changes.push(Change::Lost(m.clone())),
             Notification::Rename(a, b) if a.name != b.name => self.changes.push(Change::Left(a.clone())),
             Notification::Rename(..) | Notification::Active | Notification::Idle | Notification::Defunct => {}
-            Notification::Rejoin(m) => self.changes.push(Change::Back(m.clone())),
+            Notification::Rejoin(m) => self.changes.push(Change::Rejoined(m.clone())),
         }
     }
     fn send_to(&mut self, to: Member, data: &[u8]) {
-        let is_probe = PROBE_KINDS.contains(&self.observed.kind.load(Ordering::Relaxed));
+        let is_probe = PROBE_KINDS.contains(&self.observed.last_header_kind.load(Ordering::Relaxed));
         self.messages.push((to, data.to_vec(), is_probe));
     }
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
--- a/crates/peers/src/membership/seeds.rs
+++ b/crates/peers/src/membership/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds: configured addresses at which the rest of the cluster is found.
+//! Seeds: configured addresses of members through which this member joins the cluster.
 
 use super::parameters::*;
 use super::{Membership, Output};
@@ -6,7 +6,7 @@
 use crate::{Micros, SECOND};
 use std::net::SocketAddr;
 
-/// The seeds, and when they are contacted next.
+/// The seeds, and the time of the next announcement to them.
 pub(super) struct Seeds {
     pub addresses: Vec<SocketAddr>,
     pub next_contact: Micros,
@@ -21,19 +21,19 @@
 }
 
 impl Membership {
-    /// Replaces the seeds.
+    /// Replaces the seeds; this member's own address is ignored.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         let me = self.me().address;
         self.seeds.addresses = seeds.into_iter().filter(|s| *s != me).collect();
     }
 
-    /// Whether every seed is a live member.
+    /// Returns whether every seed is a live member.
     pub fn all_seeds_alive(&self) -> bool {
         self.seeds.addresses.iter().all(|s| self.live.iter().any(|m| m.address == *s))
     }
 
-    /// Announces us to seeds that are no live members, with exponential backoff: two at a time while we are alone, else
-    /// one.
+    /// Announces this member to seeds that are not live members, with exponential backoff: to two at a time while no
+    /// other member is live, otherwise to one.
     pub(super) fn contact_seeds(&mut self, now: Micros, out: &mut Output) {
         if now < self.seeds.next_contact || self.has_left {
             return;
@@ -57,7 +57,7 @@
         let chosen: Vec<SocketAddr> =
             missing.iter().cycle().skip(offset).take(missing.len().min(count)).copied().collect();
         for seed in chosen {
-            self.drive(now, out, |foca, collected| foca.announce(Member::unknown_at(seed), collected));
+            self.call_foca(now, out, |foca, collected| foca.announce(Member::unknown_at(seed), collected));
         }
     }
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,5 +1,6 @@
-//! One dispatcher among its peers: handles datagrams, requests, responses, updates of the discovery service and time; returns
-//! what to send, what to notify the decisions of, and whether to watch the discovery service.
+//! The state machine of one cluster member. It handles datagrams, requests, responses, discovery service updates and
+//! timers, and returns what to send, which updates the dispatch decisions need, and whether to watch the discovery
+//! service.
 
 mod api;
 mod host_list;
@@ -9,7 +10,7 @@
 mod watch;
 
 pub use api::{
-    Action, DatagramCount, Event, Figures, HostListStatus, Incarnation, Settings, Standing, WatchMode,
+    Action, DatagramCount, Event, HostListStatus, Incarnation, MemberStatus, Settings, Statistics, WatchMode,
 };
 
 use crate::codec;
@@ -22,27 +23,27 @@
 use std::net::SocketAddr;
 use suspicion::RelayedSuspicion;
 
-/// The mean interval between two digests.
+/// The mean interval between two rounds of digests.
 const DIGEST_PERIOD: Micros = SECOND * 2 / 5;
-/// The number of members that a digest is sent to.
+/// The number of members that a digest is sent to in each round.
 const DIGEST_FANOUT: usize = 2;
-/// The mean interval between two exchanges of all member states with one other member.
+/// The mean interval between two full exchanges, each of all member states with one other member.
 const FULL_EXCHANGE_PERIOD: Micros = 20 * SECOND;
-/// The times of the first full exchanges, from when the first other member was seen.
-const FIRST_FULL_EXCHANGES: [Micros; 3] = [0, SECOND / 2, 3 * SECOND / 2];
-/// The time-out of a request over TCP.
+/// The times of the first full exchanges, relative to when the first other member was seen.
+const INITIAL_FULL_EXCHANGES: [Micros; 3] = [0, SECOND / 2, 3 * SECOND / 2];
+/// The timeout of a request over TCP.
 pub const REQUEST_TIMEOUT: Micros = 2 * SECOND;
-/// How often the watch mode and the number of dispatchers are reviewed.
+/// The interval at which the watch mode and the fleet size are reviewed.
 const REVIEW_PERIOD: Micros = SECOND / 10;
 
-/// A pull of the host list.
+/// A pull of the host list that awaits its response.
 #[derive(Clone, Copy)]
 struct PullInFlight {
     to: SocketAddr,
     sent_at: Micros,
 }
 
-/// One dispatcher among its peers.
+/// The state of one member of a cluster of dispatchers.
 pub struct Peers {
     settings: Settings,
     cluster_hash: u64,
@@ -53,22 +54,22 @@
     started_at: Micros,
     /// When the first other member was seen.
     first_peer_at: Option<Micros>,
-    full_exchanges: usize,
+    full_exchange_count: usize,
     next_full_exchange: Micros,
     next_digest: Micros,
     next_review: Micros,
-    /// When watchers are next elected: at each change of the members, and periodically.
+    /// When watchers are next elected: after each membership change, and periodically.
     next_election: Micros,
     watch_mode: WatchMode,
     fleet: Fleet,
-    /// The latest pull of the host list, until its response.
+    /// The latest pull of the host list, until its response arrives.
     pull_in_flight: Option<PullInFlight>,
     relayed_suspicions: Vec<RelayedSuspicion>,
-    figures: Figures,
+    statistics: Statistics,
 }
 
 impl Peers {
-    /// A dispatcher that has not seen any peers yet.
+    /// Creates a member that has not seen any peers yet.
     pub fn new(settings: Settings, random_seed: u64, now: Micros) -> Peers {
         let me = settings.me.clone();
         let seeds = settings.seeds.clone();
@@ -85,7 +86,7 @@
             ),
             started_at: now,
             first_peer_at: None,
-            full_exchanges: 0,
+            full_exchange_count: 0,
             next_full_exchange: now,
             next_digest: now + DIGEST_PERIOD,
             next_review: now,
@@ -94,12 +95,12 @@
             fleet: settings.configured,
             pull_in_flight: None,
             relayed_suspicions: Vec::new(),
-            figures: Figures::default(),
+            statistics: Statistics::default(),
             settings,
         }
     }
 
-    /// Applies new settings; the member and its cluster stay.
+    /// Applies new settings; the identity of the member and the cluster name do not change.
     pub fn reconfigure(&mut self, new: Settings) {
         self.membership.set_seeds(new.seeds.clone());
         self.member_count.configure(new.configured, new.longest_partition);
@@ -108,12 +109,12 @@
         self.settings = Settings { me, cluster, ..new };
     }
 
-    /// When an [`Event::Tick`] is due at the latest.
+    /// Returns the latest time for the next [`Event::Tick`].
     pub fn next_deadline(&self) -> Micros {
         self.membership.next_deadline().min(self.next_review).min(self.next_digest)
     }
 
-    /// Handles an event, and appends the actions that follow.
+    /// Handles an event, and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let mut out = membership::Output::default();
         match event {
@@ -122,15 +123,15 @@
             Event::ListUpdate(update) => {
                 let list_actions = self.lists.service_update(now, update);
                 self.perform_list_actions(now, list_actions, None, actions);
-                self.note_own_watch(now);
+                self.record_own_watch(now);
             }
             Event::WatchOpened => {
                 self.lists.watch_opened(now);
-                self.note_own_watch(now);
+                self.record_own_watch(now);
             }
             Event::WatchAlive => {
-                self.lists.watch_alive(now);
-                self.note_own_watch(now);
+                self.lists.receive_keep_alive(now);
+                self.record_own_watch(now);
             }
             Event::WatchClosed => {
                 self.lists.watch_closed();
@@ -163,8 +164,8 @@
         }
         if self.first_peer_at.is_some() && now >= self.next_full_exchange {
             let jitter = self.membership.random_unit();
-            self.full_exchanges += 1;
-            self.next_full_exchange = match FIRST_FULL_EXCHANGES.get(self.full_exchanges) {
+            self.full_exchange_count += 1;
+            self.next_full_exchange = match INITIAL_FULL_EXCHANGES.get(self.full_exchange_count) {
                 Some(after) => self.first_peer_at.unwrap_or(now) + after,
                 None => now + (FULL_EXCHANGE_PERIOD as f64 * (0.5 + jitter)) as Micros,
             };
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Sends the messages of the membership, and applies its changes.
+    /// Sends the messages of the membership protocol, and applies its changes.
     fn apply_membership(&mut self, now: Micros, out: membership::Output, actions: &mut Vec<Action>) {
         for (to, swim) in out.swim {
             self.send(to, codec::encode_packet(self.cluster_hash, PacketBody::Swim(swim)), actions);
@@ -183,7 +184,7 @@
         for (to, packet) in out.datagrams {
             self.send(to, packet, actions);
         }
-        self.figures.dropped[3] += out.refused;
+        self.statistics.dropped[3] += out.rejected;
         if !out.changes.is_empty() {
             self.next_election = now;
         }
@@ -192,7 +193,7 @@
                 membership::Change::Up(member) => self.member_count.member_up(&member.name, now),
                 membership::Change::Lost(member) => self.member_count.member_lost(&member.name, now),
                 membership::Change::Left(member) => self.member_count.member_left(&member.name, now),
-                membership::Change::Back(_) => {}
+                membership::Change::Rejoined(_) => {}
             }
             actions.push(Action::MemberChanged(change));
         }
--- a/crates/peers/src/peers/api.rs
+++ b/crates/peers/src/peers/api.rs
@@ -1,4 +1,4 @@
-//! The settings, events, actions and figures of [`Peers`](super::Peers).
+//! The settings, events, actions and statistics of [`Peers`](super::Peers).
 
 use crate::Micros;
 use crate::lists::{HostsUpdate, ListUpdate, ReloadReason};
@@ -8,53 +8,53 @@
 use crate::wire::Version;
 use std::net::SocketAddr;
 
-/// The settings of an installation.
+/// The settings of one member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This member.
+    /// The identity of this member.
     pub me: Member,
-    /// The cluster's name.
+    /// The name of the cluster; messages of other clusters are dropped.
     pub cluster: String,
-    /// Addresses of members through which to join; one that answers is enough.
+    /// Addresses of members through which to join; one reachable seed is enough.
     pub seeds: Vec<SocketAddr>,
-    /// The configured fleet.
+    /// The configured fleet size and index, used until the membership has settled.
     pub configured: Fleet,
-    /// How many members watch the discovery service; at least two in each zone.
+    /// The number of members that watch the discovery service; at least two in each zone do.
     pub watchers: usize,
-    /// A member whose list is older than this polls the discovery service itself.
+    /// The age of its list beyond which a member polls the discovery service itself.
     pub stale_after: Micros,
-    /// The longest expected partition: for so long failed members still count.
+    /// The longest expected partition, during which failed members are still counted.
     pub longest_partition: Micros,
-    /// The limit of the members that are known at a time.
+    /// The maximum number of other members that are stored at a time.
     pub max_members: usize,
 }
 
-/// An input of a member.
+/// An input of the state machine.
 pub enum Event<'a> {
-    /// A datagram.
+    /// A datagram has arrived.
     Datagram(&'a [u8]),
-    /// The response to a request of ours, by the address that it was sent to; none after a time-out.
+    /// The response to a request of this member, with the address that the request was sent to; `None` after a timeout.
     Response(SocketAddr, Option<&'a [u8]>),
-    /// The discovery service has sent a list, or a change of it.
+    /// The discovery service has sent a complete list, or a change of it.
     ListUpdate(ListUpdate),
-    /// Our watch at the discovery service is open, and continues from the current version.
+    /// This member's watch at the discovery service has been opened, and continues from the current version.
     WatchOpened,
-    /// A keep-alive of our watch.
+    /// A keep-alive message has arrived on this member's watch.
     WatchAlive,
-    /// Our request failed, or our watch ended.
+    /// This member's request to the discovery service has failed, or its watch has ended.
     WatchClosed,
-    /// Time has passed.
+    /// A timer is due.
     Tick,
 }
 
-/// Whether this member watches the discovery service.
+/// Whether and how this member opens a watch at the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// No: the list comes from the peers.
+    /// No watch: the list comes from the peers.
     Off,
-    /// Yes, at once.
+    /// Open a watch immediately.
     Now,
-    /// Yes, but paced as without peers: at the time of this member in a poll round.
+    /// Open a watch at this member's time in a poll round, as without peers.
     Paced,
 }
 
@@ -63,31 +63,31 @@
 pub enum Action {
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
-    /// Send a request over TCP: one frame, which is answered by one frame.
+    /// Send a request over TCP: one frame, which is answered with one frame.
     Request(SocketAddr, Vec<u8>),
-    /// Update the hosts of the decisions.
+    /// Update the hosts that the dispatch decisions use.
     UpdateHosts(HostsUpdate),
     /// Open or close the watch at the discovery service.
     Watch(WatchMode),
-    /// Close the open watch, and request the complete list.
+    /// Close the open watch and request the complete list.
     ReloadList(ReloadReason),
-    /// Notify the decisions of the fleet.
+    /// Update the fleet that the dispatch decisions use.
     Fleet(Fleet),
-    /// A member has changed.
+    /// Report a change of a member.
     MemberChanged(membership::Change),
 }
 
-/// A count of datagrams.
+/// The number and total size of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCount {
-    /// Their number.
+    /// The number of datagrams.
     pub packets: u64,
-    /// Their bytes.
+    /// The total payload, in bytes.
     pub bytes: u64,
 }
 
 impl DatagramCount {
-    /// Adds a datagram.
+    /// Counts a datagram.
     pub(super) fn add(&mut self, datagram: &[u8]) {
         self.packets += 1;
         self.bytes += datagram.len() as u64;
@@ -97,53 +97,53 @@
 /// The host list of a member, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostListStatus {
-    /// Its version.
+    /// The version of the list.
     pub version: Version,
     /// The number of hosts.
     pub hosts: usize,
-    /// Its age.
+    /// The time since a watcher last received a message from the discovery service.
     pub age: Micros,
 }
 
-/// The identity under which a member is known: it only increases.
+/// The version of a member's identity and state, which only increases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// When its process started, in milliseconds since 1970.
+    /// The start time of its process, in milliseconds since 1970.
     pub generation: u64,
-    /// How often it has renewed its identity in this generation.
+    /// The number of identity renewals in this generation.
     pub renewal: u32,
     /// The SWIM incarnation of this identity.
     pub incarnation: u16,
 }
 
-/// Counters for operators.
+/// Statistics for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
-    /// Datagrams sent.
+pub struct Statistics {
+    /// The datagrams sent.
     pub sent: DatagramCount,
-    /// Datagrams received.
+    /// The datagrams received, including dropped ones.
     pub received: DatagramCount,
-    /// Requests sent over TCP.
+    /// The number of requests sent over TCP.
     pub requests: u64,
-    /// Requests without a response in time.
+    /// The number of requests without a response within the timeout.
     pub requests_failed: u64,
-    /// Dropped: malformed, of another format, of another cluster, naming too many members.
+    /// The numbers of dropped messages: malformed, of another format, of another cluster, with too many members.
     pub dropped: [u64; 4],
-    /// Versions that were seen with different hosts, after which the complete list was requested.
+    /// The number of conflicts between different lists of one revision, each resolved by requesting the complete list.
     pub conflicts: u64,
-    /// Versions of the host list that were applied.
-    pub versions: u64,
-    /// The age of the latest of them when it was applied, in microseconds.
-    pub age: Micros,
+    /// The number of versions of the host list that were applied.
+    pub versions_applied: u64,
+    /// The age of the last applied version when it was applied, in microseconds.
+    pub applied_version_age: Micros,
 }
 
 /// The state of a member, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
-    /// The member.
+pub struct MemberStatus {
+    /// The identity of the member.
     pub member: Member,
-    /// `alive`, `suspect` or `down`.
+    /// The state: `alive`, `suspect` or `down`.
     pub state: &'static str,
-    /// Whether it watches the discovery service.
+    /// Whether its watch at the discovery service is open.
     pub watches: bool,
 }
--- a/crates/peers/src/peers/host_list.rs
+++ b/crates/peers/src/peers/host_list.rs
@@ -1,21 +1,22 @@
-//! The host list among the peers: changes by gossip, and anti-entropy by digests with a pull of what is missing.
+//! Dissemination of the host list: gossip of changes, and anti-entropy through digests and pulls of missing changes.
 
 use super::api::Action;
 use super::{Peers, PullInFlight, REQUEST_TIMEOUT};
 use crate::Micros;
-use crate::codec::{self, MAX_DATAGRAM};
+use crate::codec::{self, MAX_DATAGRAM_BYTES};
 use crate::lists::{ListAction, ReloadReason};
 use crate::member::Member;
 use crate::watchers::WatchReport;
 use crate::wire::{self, Change, Digest, FrameBody, PacketBody};
 
-/// To how many members a change of the list is sent.
+/// The number of members that a change of the list is sent to.
 const CHANGE_FANOUT: usize = 6;
-/// The limit of the watchers named in a digest.
+/// The maximum number of watcher reports in a digest.
 const MAX_ASKERS_IN_DIGEST: usize = 16;
 
 impl Peers {
-    /// Compares a member's digest with our list: pulls what is missing here, and answers with our digest if our list is later.
+    /// Compares a member's digest with the local list. Pulls missing changes, and answers with a digest if the local
+    /// list is later.
     pub(super) fn receive_digest(
         &mut self,
         now: Micros,
@@ -24,8 +25,8 @@
         actions: &mut Vec<Action>,
     ) {
         for asker in digest.askers.iter().take(MAX_ASKERS_IN_DIGEST) {
-            // A report about ourselves is one of our own that comes back.
-            if asker.name != self.me().name && asker.name.len() <= crate::member::MAX_NAME {
+            // A report about this member is an echo of one of its own.
+            if asker.name != self.me().name && asker.name.len() <= crate::member::MAX_NAME_BYTES {
                 let age = i64::try_from(asker.age_us).unwrap_or(Micros::MAX / 2);
                 self.watchers.record(&asker.name, asker.open, now.saturating_sub(age));
             }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends the version of our list, and the known watchers.
+    /// Sends the version of the local list and the latest watcher reports.
     pub(super) fn send_digest(
         &mut self,
         now: Micros,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Performs what follows from an update of the list by a member, or by the discovery service.
+    /// Performs the actions that result from an update by another member (`from`) or by the discovery service.
     pub(super) fn perform_list_actions(
         &mut self,
         now: Micros,
@@ -90,8 +91,8 @@
         for list_action in list_actions {
             match list_action {
                 ListAction::Update(update) => {
-                    self.figures.versions += 1;
-                    self.figures.age = update.age;
+                    self.statistics.versions_applied += 1;
+                    self.statistics.applied_version_age = update.age;
                     actions.push(Action::UpdateHosts(update));
                 }
                 ListAction::Disseminate(change) => self.disseminate(now, change, actions),
@@ -100,15 +101,15 @@
                         self.pull(now, from, actions);
                     }
                 }
-                ListAction::Reload(why) => {
-                    self.figures.conflicts += u64::from(why == ReloadReason::Conflict);
-                    actions.push(Action::ReloadList(why));
+                ListAction::Reload(reason) => {
+                    self.statistics.conflicts += u64::from(reason == ReloadReason::Conflict);
+                    actions.push(Action::ReloadList(reason));
                 }
             }
         }
     }
 
-    /// Pulls the list from a member, unless a pull is in flight.
+    /// Pulls the list from a member, unless another pull is in flight.
     fn pull(&mut self, now: Micros, from: &Member, actions: &mut Vec<Action>) {
         if self.pull_in_flight.is_some_and(|pull| now - pull.sent_at <= REQUEST_TIMEOUT) {
             return;
@@ -118,7 +119,7 @@
         self.request(from.address, FrameBody::Pull(version), actions);
     }
 
-    /// Sends a change to some members; without one, or with one too long for a datagram, a digest.
+    /// Sends a change to some members, or a digest if there is no change or it exceeds a datagram.
     pub(super) fn disseminate(&mut self, now: Micros, change: Option<Change>, actions: &mut Vec<Action>) {
         let receivers = self.membership.sample(CHANGE_FANOUT);
         let age_us = self.lists.age(now).unwrap_or(0) as u64;
@@ -126,7 +127,7 @@
             let change = Change { from: Some(self.me().to_wire()), age_us, ..change };
             codec::encode_packet(self.cluster_hash, PacketBody::Change(change))
         });
-        let Some(packet) = packet.filter(|packet| packet.len() <= MAX_DATAGRAM) else {
+        let Some(packet) = packet.filter(|packet| packet.len() <= MAX_DATAGRAM_BYTES) else {
             self.send_digest(now, &receivers, false, actions);
             return;
         };
--- a/crates/peers/src/peers/receive.rs
+++ b/crates/peers/src/peers/receive.rs
@@ -1,37 +1,37 @@
-//! Datagrams, requests and responses: received and sent ones.
+//! Sending and receiving of datagrams, requests and responses.
 
 use super::Peers;
 use super::api::Action;
 use crate::Micros;
-use crate::codec::{self, Rejected};
+use crate::codec::{self, RejectReason};
 use crate::member::Member;
 use crate::membership;
 use crate::wire::{self, FrameBody, PacketBody};
 use std::net::SocketAddr;
 
 impl Peers {
-    /// Sends a datagram.
+    /// Sends and counts a datagram.
     pub(super) fn send(&mut self, to: SocketAddr, packet: Vec<u8>, actions: &mut Vec<Action>) {
-        self.figures.sent.add(&packet);
+        self.statistics.sent.add(&packet);
         actions.push(Action::Send(to, packet));
     }
 
-    /// Sends a request over TCP.
+    /// Sends and counts a request over TCP.
     pub(super) fn request(&mut self, to: SocketAddr, body: FrameBody, actions: &mut Vec<Action>) {
-        self.figures.requests += 1;
+        self.statistics.requests += 1;
         actions.push(Action::Request(to, codec::encode_frame(self.cluster_hash, self.membership.me(), body)));
     }
 
-    fn count_rejected(&mut self, why: Rejected) {
-        let index = match why {
-            Rejected::Garbage => 0,
-            Rejected::Format => 1,
-            Rejected::Cluster => 2,
+    fn count_rejection(&mut self, reason: RejectReason) {
+        let index = match reason {
+            RejectReason::Malformed => 0,
+            RejectReason::FormatMismatch => 1,
+            RejectReason::ClusterMismatch => 2,
         };
-        self.figures.dropped[index] += 1;
+        self.statistics.dropped[index] += 1;
     }
 
-    /// Handles a datagram.
+    /// Handles a received datagram.
     pub(super) fn receive_datagram(
         &mut self,
         now: Micros,
@@ -39,37 +39,37 @@
         out: &mut membership::Output,
         actions: &mut Vec<Action>,
     ) {
-        self.figures.received.add(bytes);
+        self.statistics.received.add(bytes);
         let body = match codec::decode_packet(self.cluster_hash, bytes) {
             Ok(body) => body,
-            Err(why) => return self.count_rejected(why),
+            Err(reason) => return self.count_rejection(reason),
         };
         match body {
             PacketBody::Swim(swim) => {
                 if let Some(source) = codec::sender_state(&swim) {
-                    self.member_heard(now, source, actions);
+                    self.record_member_message(now, source, actions);
                 }
                 if !self.membership.receive_swim(now, &swim, out) && codec::named_members(&swim).is_none() {
-                    self.count_rejected(Rejected::Garbage);
+                    self.count_rejection(RejectReason::Malformed);
                 }
             }
-            PacketBody::Suspected(word) => self.receive_suspicion(now, &word, out, actions),
+            PacketBody::Suspected(suspected) => self.receive_suspicion(now, &suspected, out, actions),
             PacketBody::Heard(state) => self.membership.confirm_alive(now, &state, out),
-            PacketBody::Leaving(who) => {
-                if let Some(member) = Member::from_wire(&who) {
+            PacketBody::Leaving(identity) => {
+                if let Some(member) = Member::from_wire(&identity) {
                     self.membership.member_left(now, &member, out);
                 }
             }
             PacketBody::Digest(digest) => {
                 let Some(from) = digest.from.as_ref().and_then(Member::from_wire) else {
-                    return self.count_rejected(Rejected::Garbage);
+                    return self.count_rejection(RejectReason::Malformed);
                 };
                 self.membership.observe_alive(now, &from, out);
                 self.receive_digest(now, &from, &digest, actions);
             }
             PacketBody::Change(change) => {
                 let Some(from) = change.from.as_ref().and_then(Member::from_wire) else {
-                    return self.count_rejected(Rejected::Garbage);
+                    return self.count_rejection(RejectReason::Malformed);
                 };
                 self.membership.observe_alive(now, &from, out);
                 let list_actions = self.lists.receive_change(now, change);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Handles the response to a request of ours; none after a time-out.
+    /// Handles the response to a request of this member; `None` after a timeout.
     pub(super) fn receive_response(
         &mut self,
         now: Micros,
@@ -91,7 +91,7 @@
             self.pull_in_flight = None;
         }
         let Some(bytes) = response else {
-            self.figures.requests_failed += 1;
+            self.statistics.requests_failed += 1;
             return;
         };
         match codec::decode_frame(self.cluster_hash, bytes) {
@@ -101,11 +101,12 @@
                 self.perform_list_actions(now, list_actions, Some(&sender), actions);
             }
             Ok(_) => {}
-            Err(why) => self.count_rejected(why),
+            Err(reason) => self.count_rejection(reason),
         }
     }
 
-    /// Answers a request over TCP. The request comes without its length prefix, the response has one.
+    /// Answers a request over TCP. The request is passed without its length prefix; the response has one. Returns
+    /// `None` if the request was rejected.
     pub fn handle_request(
         &mut self,
         now: Micros,
@@ -114,8 +115,8 @@
     ) -> Option<Vec<u8>> {
         let (from, body) = match codec::decode_frame(self.cluster_hash, frame) {
             Ok(decoded) => decoded,
-            Err(why) => {
-                self.count_rejected(why);
+            Err(reason) => {
+                self.count_rejection(reason);
                 return None;
             }
         };
--- a/crates/peers/src/peers/status.rs
+++ b/crates/peers/src/peers/status.rs
@@ -1,6 +1,6 @@
-//! The state of one dispatcher among its peers, for operators and for the caller.
+//! The state of a member and its cluster, for operators and for the caller.
 
-use super::{Figures, HostListStatus, Incarnation, Peers, Standing, WatchMode};
+use super::{HostListStatus, Incarnation, MemberStatus, Peers, Statistics, WatchMode};
 use crate::Micros;
 use crate::member::Member;
 use crate::member_count::Fleet;
@@ -9,22 +9,22 @@
 use std::net::SocketAddr;
 
 impl Peers {
-    /// This member.
+    /// Returns the identity of this member.
     pub fn me(&self) -> &Member {
         self.membership.me()
     }
 
-    /// The other members by state.
+    /// Counts the other members by state.
     pub fn counts(&self) -> Counts {
         self.membership.counts()
     }
 
-    /// The figures.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    /// Returns the statistics.
+    pub fn figures(&self) -> &Statistics {
+        &self.statistics
     }
 
-    /// The host list, if there is one.
+    /// Returns the status of the host list, if there is one.
     pub fn list(&self, now: Micros) -> Option<HostListStatus> {
         Some(HostListStatus {
             version: self.lists.version()?,
@@ -33,44 +33,44 @@
         })
     }
 
-    /// The fleet that the decisions were last notified of.
+    /// Returns the fleet that was last reported to the dispatch decisions.
     pub fn fleet(&self) -> Fleet {
         self.fleet
     }
 
-    /// Whether our watch is open, and the wanted watch mode.
+    /// Returns whether this member's watch is open, and the selected watch mode.
     pub fn watch(&self) -> (bool, WatchMode) {
-        (self.lists.watches(), self.watch_mode)
+        (self.lists.is_watching(), self.watch_mode)
     }
 
     fn open_watches(&self, now: Micros) -> impl Iterator<Item = &str> {
         self.watchers.recent_reports(now).filter(|report| report.open).map(|report| report.name)
     }
 
-    /// The names of the members whose watch is open, as far as known.
+    /// Returns the names of the members with an open watch, by the latest reports.
     pub fn watchers(&self, now: Micros) -> Vec<String> {
         self.open_watches(now).map(str::to_owned).collect()
     }
 
-    /// Whether a live member is at an address.
+    /// Returns whether the member at an address is alive or suspect.
     pub fn is_live(&self, at: SocketAddr) -> bool {
         self.membership.live().iter().any(|m| m.address == at)
     }
 
-    /// The other live members.
+    /// Returns the other members that are alive or suspect.
     pub fn live(&self) -> &[Member] {
         self.membership.live()
     }
 
-    /// How long a suspected member currently has to refute the suspicion.
+    /// Returns how long a suspected member currently has to refute the suspicion.
     pub fn suspicion_timeout(&self) -> Micros {
         self.membership.suspicion_timeout()
     }
 
-    /// All members with their states, sorted by name.
-    pub fn standings(&self, now: Micros) -> Vec<Standing> {
+    /// Returns all members with their states, sorted by name.
+    pub fn member_statuses(&self, now: Micros) -> Vec<MemberStatus> {
         let watching: BTreeSet<&str> = self.open_watches(now).collect();
-        let of = |m: &Member, state| Standing {
+        let status_of = |m: &Member, state| MemberStatus {
             member: m.clone(),
             state,
             watches: watching.contains(m.name.as_str()),
@@ -81,14 +81,14 @@
                 foca::State::Suspect => "suspect",
                 foca::State::Down => "down",
             };
-            of(m.id(), state)
+            status_of(m.id(), state)
         });
-        let mut all: Vec<Standing> = others.chain([of(self.me(), "alive")]).collect();
+        let mut all: Vec<MemberStatus> = others.chain([status_of(self.me(), "alive")]).collect();
         all.sort_by(|a, b| a.member.name.cmp(&b.member.name));
         all
     }
 
-    /// The incarnation under which each other member that is not down is known, by its address.
+    /// Returns the latest incarnation of each other member that is not down, with its address.
     pub fn incarnations(&self) -> impl Iterator<Item = (SocketAddr, Incarnation)> {
         let up = self.membership.states().filter(|state| state.state() != foca::State::Down);
         up.map(|state| {
--- a/crates/peers/src/peers/suspicion.rs
+++ b/crates/peers/src/peers/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicions on their way to the suspect, also through members of other zones: a partition between two zones is no
-//! failure of a member.
+//! Delivery of suspicions to the suspect, directly and through members of other zones, so that a partition between
+//! two zones is not mistaken for the failure of a member.
 
 use super::Peers;
 use super::api::Action;
@@ -10,16 +10,16 @@
 use crate::{Micros, SECOND};
 use std::net::SocketAddr;
 
-/// The number of other members that relay a suspicion to the suspect.
+/// The number of members that relay a suspicion to the suspect.
 const SUSPICION_RELAYS: usize = 3;
-/// The number of random members among which the relays are chosen.
+/// The number of random members from which the relays are chosen.
 const RELAY_CANDIDATES: usize = 12;
-/// How long a relayed suspicion is stored.
-const RELAY_MEMORY: Micros = SECOND;
-/// The limit of stored relayed suspicions.
+/// How long a relayed suspicion remains stored.
+const RELAY_RETENTION: Micros = SECOND;
+/// The maximum number of stored relayed suspicions.
 const MAX_RELAYED_SUSPICIONS: usize = 64;
 
-/// A suspicion that we have relayed to the suspect for another member.
+/// A suspicion that this member has relayed to the suspect on behalf of another member.
 pub(super) struct RelayedSuspicion {
     suspect: SocketAddr,
     requester: SocketAddr,
@@ -27,11 +27,16 @@
 }
 
 impl Peers {
-    /// A member was heard: notifies the members for which we have relayed a suspicion to it.
-    pub(super) fn member_heard(&mut self, now: Micros, source: wire::MemberState, actions: &mut Vec<Action>) {
+    /// Records a message from a member, and notifies the members on whose behalf a suspicion was relayed to it.
+    pub(super) fn record_member_message(
+        &mut self,
+        now: Micros,
+        source: wire::MemberState,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(at) = source.member.as_ref().and_then(Member::from_wire).map(|m| m.address) else { return };
-        self.membership.heard_from(at);
-        self.relayed_suspicions.retain(|relayed| now - relayed.at < RELAY_MEMORY);
+        self.membership.record_message_from(at);
+        self.relayed_suspicions.retain(|relayed| now - relayed.at < RELAY_RETENTION);
         let relayed = std::mem::take(&mut self.relayed_suspicions);
         let (heard, others): (Vec<_>, Vec<_>) =
             relayed.into_iter().partition(|relayed| relayed.suspect == at);
@@ -45,7 +50,8 @@
         }
     }
 
-    /// Notifies a suspect of our suspicion, directly and through members that are, if possible, of other zones than both.
+    /// Notifies a suspect of this member's suspicion, directly and through relays, preferably in other zones than
+    /// both members.
     pub(super) fn notify_suspect(&mut self, suspect: &Member, incarnation: u32, actions: &mut Vec<Action>) {
         let by = Some(self.me().to_wire());
         let member = Some(suspect.to_wire());
@@ -53,19 +59,20 @@
             let suspected = wire::Suspected { by: by.clone(), member: member.clone(), incarnation, through };
             codec::encode_packet(self.cluster_hash, PacketBody::Suspected(suspected))
         };
-        let direct = packet(false);
-        let through = packet(true);
+        let direct_packet = packet(false);
+        let relayed_packet = packet(true);
         let zone = self.me().zone.clone();
         let mut others = self.membership.sample(RELAY_CANDIDATES);
         others.retain(|member| member != suspect);
         others.sort_by_key(|member| (member.zone == zone) as u8 + (member.zone == suspect.zone) as u8);
-        self.send(suspect.address, direct, actions);
+        self.send(suspect.address, direct_packet, actions);
         for relay in others.iter().take(SUSPICION_RELAYS) {
-            self.send(relay.address, through.clone(), actions);
+            self.send(relay.address, relayed_packet.clone(), actions);
         }
     }
 
-    /// Refutes a suspicion of us; relays another one to the suspect, if that is requested and the suspect is alive.
+    /// Refutes a suspicion of this member. Relays any other one to the suspect, if that is requested and the suspect
+    /// is live.
     pub(super) fn receive_suspicion(
         &mut self,
         now: Micros,
@@ -77,7 +84,7 @@
         if suspect.address == self.me().address {
             self.membership.refute_suspicion(now, suspected, out);
         } else if suspected.through && self.is_live(suspect.address) {
-            // It is relayed in our name: the suspect answers us, and we notify the requester.
+            // The relay names itself as the sender: the suspect answers the relay, which notifies the requester.
             let requester = suspected.by.as_ref().and_then(Member::from_wire);
             let has_capacity = self.relayed_suspicions.len() < MAX_RELAYED_SUSPICIONS;
             if let Some(requester) = requester.filter(|_| has_capacity) {
--- a/crates/peers/src/peers/watch.rs
+++ b/crates/peers/src/peers/watch.rs
@@ -1,33 +1,33 @@
-//! Whether this member watches the discovery service, and the fleet that the decisions are notified of.
+//! Selection of the watch mode of this member, and updates of the fleet for the dispatch decisions.
 
 use super::Peers;
 use super::api::{Action, WatchMode};
 use crate::watchers::{self, Candidate};
 use crate::{Micros, SECOND};
 
-/// How long a dispatcher that is alone waits for its peers before it goes on without them.
+/// How long a member without live peers waits for them before it watches the discovery service on its own.
 const JOIN_TIMEOUT: Micros = SECOND;
-/// The members count as complete once they have not changed for so long.
+/// The membership is considered complete once it has not changed for this long.
 const SETTLED_AFTER: Micros = SECOND;
-/// The members count as complete at the latest so long after the start.
-const SETTLED_AT_LATEST: Micros = 3 * SECOND;
-/// The interval of elections of watchers, if no member changes.
+/// The membership is considered complete at the latest this long after the start.
+const MAX_SETTLE_TIME: Micros = 3 * SECOND;
+/// The interval of watcher elections while the membership does not change.
 const ELECTION_PERIOD: Micros = SECOND / 2;
 
 impl Peers {
-    /// Records for the digests that our own watch is open, if it is.
-    pub(super) fn note_own_watch(&mut self, now: Micros) {
-        if self.lists.watches() {
+    /// Records that this member's own watch is open, if it is, for the next digests.
+    pub(super) fn record_own_watch(&mut self, now: Micros) {
+        if self.lists.is_watching() {
             let name = self.me().name.clone();
             self.watchers.record(&name, true, now);
         }
     }
 
-    /// Reviews whether to watch the discovery service, and the size of the fleet.
+    /// Updates the watch mode and the size of the fleet.
     pub(super) fn review(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now >= self.next_election {
             self.next_election = now + ELECTION_PERIOD;
-            let mode = self.wanted_watch_mode(now);
+            let mode = self.select_watch_mode(now);
             if mode != self.watch_mode {
                 self.watch_mode = mode;
                 actions.push(Action::Watch(mode));
@@ -45,16 +45,16 @@
         }
     }
 
-    fn wanted_watch_mode(&self, now: Micros) -> WatchMode {
+    fn select_watch_mode(&self, now: Micros) -> WatchMode {
         let live = self.membership.live();
         if self.membership.has_left() {
             return WatchMode::Paced;
         }
         let me = self.me();
-        let settled =
-            now - self.member_count.changed() >= SETTLED_AFTER || now - self.started_at >= SETTLED_AT_LATEST;
+        let settled = now - self.member_count.last_changed_at() >= SETTLED_AFTER
+            || now - self.started_at >= MAX_SETTLE_TIME;
         if !settled || live.is_empty() {
-            if self.lists.watches()
+            if self.lists.is_watching()
                 || watchers::is_early_watcher(
                     &me.name,
                     self.settings.watchers,
@@ -64,7 +64,7 @@
                 return WatchMode::Now;
             }
             let wait_for_peers = !live.is_empty() || now - self.started_at < JOIN_TIMEOUT;
-            return if wait_for_peers { self.hold_while_fresh(now) } else { WatchMode::Paced };
+            return if wait_for_peers { self.watch_mode_by_list_age(now) } else { WatchMode::Paced };
         }
         let all = live.iter().chain([me]);
         let members: Vec<Candidate> =
@@ -72,11 +72,11 @@
         if self.watchers.elect(now, &members, self.settings.watchers).contains(me.name.as_str()) {
             return WatchMode::Now;
         }
-        self.hold_while_fresh(now)
+        self.watch_mode_by_list_age(now)
     }
 
-    /// No watch as long as the list from the peers is fresh.
-    fn hold_while_fresh(&self, now: Micros) -> WatchMode {
+    /// Returns [`WatchMode::Off`] while the list from the peers is fresh, then [`WatchMode::Paced`].
+    fn watch_mode_by_list_age(&self, now: Micros) -> WatchMode {
         let age = self.lists.age(now).unwrap_or(now - self.started_at);
         if age > self.settings.stale_after { WatchMode::Paced } else { WatchMode::Off }
     }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,20 +1,20 @@
-//! The messages between members, as in `proto/peers.proto`.
+//! The messages between members, as defined in `proto/peers.proto`.
 
 use prost::{Message, Oneof};
 
-/// The format of packets and frames; those of another format are dropped.
+/// The version of the message format; packets and frames of another format are dropped.
 pub const FORMAT: u32 = 1;
 
 /// A datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packet {
-    /// [`FORMAT`].
+    /// The message format, [`FORMAT`].
     #[prost(fixed32, tag = "1")]
     pub format: u32,
-    /// A hash of the cluster's name.
+    /// The hash of the cluster's name.
     #[prost(fixed64, tag = "2")]
     pub cluster: u64,
-    /// Its content.
+    /// The content.
     #[prost(oneof = "PacketBody", tags = "3, 4, 5, 6, 7, 8")]
     pub body: Option<PacketBody>,
 }
@@ -22,71 +22,71 @@
 /// The content of a datagram.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PacketBody {
-    /// A message of the membership library.
+    /// A message of the membership library (foca).
     #[prost(bytes = "vec", tag = "3")]
     Swim(Vec<u8>),
-    /// The version and the watchers that its sender knows.
+    /// The sender's list version and its reports about watchers.
     #[prost(message, tag = "4")]
     Digest(Digest),
-    /// A change of the list.
+    /// A change of the host list.
     #[prost(message, tag = "5")]
     Change(Change),
-    /// Its receiver is suspected.
+    /// Notifies a member of a suspicion.
     #[prost(message, tag = "6")]
     Suspected(Suspected),
-    /// Its sender leaves.
+    /// The sender leaves the cluster.
     #[prost(message, tag = "7")]
     Leaving(Identity),
-    /// Its sender has just heard this member, which the receiver suspects.
+    /// The sender has just received a message from this member, which the receiver suspects.
     #[prost(message, tag = "8")]
     Heard(MemberState),
 }
 
-/// A member.
+/// The identity of a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct Identity {
-    /// Its name.
+    /// The member's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its address: 4 or 16 bytes.
+    /// The IP address: 4 or 16 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub ip: Vec<u8>,
-    /// See [`Identity::ip`].
+    /// The UDP and TCP port at [`Identity::ip`].
     #[prost(uint32, tag = "3")]
     pub port: u32,
-    /// When its process started, in milliseconds since 1970.
+    /// The start time of its process, in milliseconds since 1970.
     #[prost(fixed64, tag = "4")]
     pub generation: u64,
-    /// How often it has renewed its identity.
+    /// The number of identity renewals in this generation.
     #[prost(uint32, tag = "5")]
     pub renewal: u32,
-    /// Its zone.
+    /// The zone that the member runs in.
     #[prost(string, tag = "6")]
     pub zone: String,
-    /// Its configured number.
+    /// The configured dispatcher number.
     #[prost(uint32, tag = "7")]
     pub number: u32,
 }
 
-/// The header of a packet of the membership library.
+/// The header of a message of the membership library.
 #[derive(Clone, PartialEq, Message)]
 pub struct Header {
     /// The sender.
     #[prost(message, optional, tag = "1")]
     pub source: Option<Identity>,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     #[prost(uint32, tag = "2")]
     pub incarnation: u32,
     /// The receiver.
     #[prost(message, optional, tag = "3")]
     pub destination: Option<Identity>,
-    /// The kind of the message.
+    /// The kind of the message, as encoded by [`Codec`](crate::codec::Codec).
     #[prost(uint32, tag = "4")]
     pub kind: u32,
-    /// The member that it is about.
+    /// For indirect probes, the probed member or the originator of the probe.
     #[prost(message, optional, tag = "5")]
     pub about: Option<Identity>,
-    /// The probe that it belongs to.
+    /// The number of the probe that the message belongs to.
     #[prost(uint32, tag = "6")]
     pub probe: u32,
 }
@@ -94,10 +94,10 @@
 /// The state of a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberState {
-    /// The member.
+    /// The member's identity.
     #[prost(message, optional, tag = "1")]
     pub member: Option<Identity>,
-    /// Its incarnation.
+    /// The member's incarnation.
     #[prost(uint32, tag = "2")]
     pub incarnation: u32,
     /// 1 alive, 2 suspect, 3 down.
@@ -105,19 +105,19 @@
     pub state: u32,
 }
 
-/// The receiver is suspected by the sender.
+/// A suspicion, sent to the suspect or to a relay.
 #[derive(Clone, PartialEq, Message)]
 pub struct Suspected {
-    /// The sender.
+    /// The member that suspects another; a relay replaces it by itself.
     #[prost(message, optional, tag = "1")]
     pub by: Option<Identity>,
-    /// The receiver.
+    /// The suspect.
     #[prost(message, optional, tag = "2")]
     pub member: Option<Identity>,
-    /// In this incarnation.
+    /// The incarnation of the suspect that is suspected.
     #[prost(uint32, tag = "3")]
     pub incarnation: u32,
-    /// Whether its receiver is to relay it to the suspect.
+    /// Whether the receiver is asked to relay the suspicion to the suspect.
     #[prost(bool, tag = "4")]
     pub through: bool,
 }
@@ -125,33 +125,33 @@
 /// A version of the host list.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Version {
-    /// Incremented with each restart of the service; from 1 on.
+    /// Starts at 1 and is incremented with each restart of the discovery service.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
-    /// The revision of the service.
+    /// The revision of the list at the discovery service.
     #[prost(uint64, tag = "2")]
     pub rev: u64,
-    /// The sum of the hashes of its hosts.
+    /// The wrapping sum of the hashes of the hosts.
     #[prost(fixed64, tag = "3")]
     pub digest: u64,
 }
 
-/// The version of a member's list, and the watchers that it knows.
+/// The version of the sender's list, and its reports about watchers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Digest {
     /// The sender.
     #[prost(message, optional, tag = "1")]
     pub from: Option<Identity>,
-    /// Its version; none without a list.
+    /// The version of the sender's list, if it has one that may be shared.
     #[prost(message, optional, tag = "2")]
     pub version: Option<Version>,
-    /// The age of the list: microseconds since a watcher last heard the service.
+    /// The age of the list: microseconds since a watcher last received a message from the discovery service.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
-    /// The watchers.
+    /// The latest reports about members that watch the discovery service or fail to.
     #[prost(message, repeated, tag = "4")]
     pub askers: Vec<Asker>,
-    /// Whether it answers another digest.
+    /// Whether this digest answers another one.
     #[prost(bool, tag = "5")]
     pub answer: bool,
 }
@@ -159,62 +159,62 @@
 /// A member that watches the discovery service, or fails to.
 #[derive(Clone, PartialEq, Message)]
 pub struct Asker {
-    /// Its name.
+    /// The member's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Whether its watch is open; else its requests fail.
+    /// Whether its watch is open; otherwise its requests fail.
     #[prost(bool, tag = "2")]
     pub open: bool,
-    /// Microseconds since its report.
+    /// Microseconds since the member's report.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
 }
 
-/// A host.
+/// A host on the host list.
 #[derive(Clone, PartialEq, Message)]
 pub struct Target {
-    /// Its name.
+    /// The host's unique name.
     #[prost(string, tag = "1")]
     pub uid: String,
-    /// Its address.
+    /// The address for requests.
     #[prost(string, tag = "2")]
     pub endpoint: String,
-    /// Its zone.
+    /// The zone that the host runs in.
     #[prost(string, tag = "3")]
     pub az: String,
-    /// Its machine kind.
+    /// The machine type.
     #[prost(string, tag = "4")]
     pub model: String,
-    /// Its cell.
+    /// The cell that the host belongs to.
     #[prost(uint32, tag = "5")]
     pub pod_group: u32,
     /// 1 ready, 2 draining, 3 gone.
     #[prost(uint32, tag = "6")]
     pub state: u32,
-    /// Its relative capacity.
+    /// The capacity relative to other hosts.
     #[prost(double, tag = "7")]
     pub capacity_hint: f64,
-    /// When its process started, in milliseconds since 1970; 0: long ago.
+    /// The start time of its process, in milliseconds since 1970; 0 if it started long ago.
     #[prost(double, tag = "8")]
     pub boot_ms: f64,
 }
 
-/// The changes from one version to another.
+/// The changes from one version of the list to the next.
 #[derive(Clone, PartialEq, Message)]
 pub struct Change {
     /// The sender.
     #[prost(message, optional, tag = "1")]
     pub from: Option<Identity>,
-    /// The version before.
+    /// The version before the change.
     #[prost(message, optional, tag = "2")]
     pub before: Option<Version>,
-    /// The version after.
+    /// The version after the change.
     #[prost(message, optional, tag = "3")]
     pub after: Option<Version>,
-    /// The age of the list: microseconds since a watcher last heard the service.
+    /// The age of the list: microseconds since a watcher last received a message from the discovery service.
     #[prost(uint64, tag = "4")]
     pub age_us: u64,
-    /// The changed hosts.
+    /// The changed hosts in their new state.
     #[prost(message, repeated, tag = "5")]
     pub targets: Vec<Target>,
 }
@@ -222,16 +222,16 @@
 /// A complete list, or the changes since the version of a pull.
 #[derive(Clone, PartialEq, Message)]
 pub struct Listing {
-    /// The version before the changes; none for a complete list.
+    /// The version before the changes; absent for a complete list.
     #[prost(message, optional, tag = "1")]
     pub before: Option<Version>,
-    /// The version after.
+    /// The version of the complete list, or after the changes.
     #[prost(message, optional, tag = "2")]
     pub after: Option<Version>,
-    /// The age of the list: microseconds since a watcher last heard the service.
+    /// The age of the list: microseconds since a watcher last received a message from the discovery service.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
-    /// Its hosts.
+    /// All hosts, or the changed ones.
     #[prost(message, repeated, tag = "4")]
     pub targets: Vec<Target>,
 }
@@ -239,16 +239,16 @@
 /// A request or a response over TCP.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// [`FORMAT`].
+    /// The message format, [`FORMAT`].
     #[prost(fixed32, tag = "1")]
     pub format: u32,
-    /// A hash of the cluster's name.
+    /// The hash of the cluster's name.
     #[prost(fixed64, tag = "2")]
     pub cluster: u64,
     /// The sender.
     #[prost(message, optional, tag = "3")]
     pub from: Option<Identity>,
-    /// Its content.
+    /// The content.
     #[prost(oneof = "FrameBody", tags = "4, 5, 6, 7")]
     pub body: Option<FrameBody>,
 }
@@ -256,28 +256,28 @@
 /// The content of a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum FrameBody {
-    /// All members that the sender knows; the response has those of the receiver.
+    /// The member states that the sender has; the response has those of the receiver.
     #[prost(message, tag = "4")]
     Members(Members),
-    /// Pulls the changes since this version; with generation 0 the complete list.
+    /// Requests the changes since this version; generation 0 requests the complete list.
     #[prost(message, tag = "5")]
     Pull(Version),
-    /// A list.
+    /// The response to a pull.
     #[prost(message, tag = "6")]
     Listing(Listing),
-    /// Nothing: the request cannot be answered otherwise.
+    /// An empty response, when there is no list to share or the request is unexpected.
     #[prost(message, tag = "7")]
     Nothing(Nothing),
 }
 
-/// Members.
+/// The states of all members that the sender has.
 #[derive(Clone, PartialEq, Message)]
 pub struct Members {
-    /// The state of each.
+    /// One state per member, including the sender.
     #[prost(message, repeated, tag = "1")]
     pub states: Vec<MemberState>,
 }
 
-/// Nothing.
+/// An empty response.
 #[derive(Clone, PartialEq, Message)]
 pub struct Nothing {}
