--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -80,7 +80,7 @@
     version: Version,
     hosts: BTreeMap<String, Target>,
     /// When this member or another one last received a message from the discovery service.
-    service_heard_at: Micros,
+    last_service_contact_at: Micros,
     /// When this version was received.
     received_at: Micros,
 }
@@ -123,12 +123,12 @@
         self.current.as_ref().map(|current| current.version)
     }
     /// Returns the number of hosts in the current list.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.current.as_ref().map_or(0, |current| current.hosts.len())
     }
     /// Returns the time since this member or another one last received a message from the discovery service.
     pub fn age(&self, now: Micros) -> Option<Micros> {
-        self.current.as_ref().map(|current| (now - current.service_heard_at).max(0))
+        self.current.as_ref().map(|current| (now - current.last_service_contact_at).max(0))
     }
     /// Returns whether this member's own watch is open.
     pub fn is_watching(&self) -> bool {
@@ -152,7 +152,8 @@
                 if is_earlier && current.received_at >= update.requested_at {
                     return vec![ListAction::Reload(ReloadReason::StaleResponse)];
                 }
-                // A more recent response with an earlier revision shows that the service has restarted.
+                // A later response with a lower revision, or with other hosts of the same revision, shows that the service has
+                // restarted.
                 current.version.generation + u64::from(is_earlier)
             }
         };
@@ -182,7 +183,7 @@
             self.watched_revision = None;
             return vec![ListAction::Reload(ReloadReason::ServiceRestarted)];
         }
-        current.service_heard_at = now;
+        current.last_service_contact_at = now;
         self.watched_revision = Some(Revision { generation, rev: watch.rev.max(update.rev) });
         if update.rev <= current.version.rev {
             return Vec::new();
@@ -206,7 +207,7 @@
     /// Records that this member's own watch has been opened; it continues from the current version.
     pub fn watch_opened(&mut self, now: Micros) {
         if let Some(current) = &mut self.current {
-            current.service_heard_at = now;
+            current.last_service_contact_at = now;
             self.watched_revision = Some(Revision::of(&current.version));
         }
     }
@@ -217,7 +218,7 @@
         if let Some(current) = &mut self.current
             && current.version.generation == watch.generation
         {
-            current.service_heard_at = now;
+            current.last_service_contact_at = now;
         }
     }
 
@@ -230,7 +231,7 @@
     pub fn receive_version(&mut self, now: Micros, theirs: &Version, age: Micros) -> Vec<ListAction> {
         let Some(current) = &mut self.current else { return vec![ListAction::Pull] };
         if *theirs == current.version {
-            current.service_heard_at = current.service_heard_at.max(now - age);
+            current.last_service_contact_at = current.last_service_contact_at.max(now - age);
             return Vec::new();
         }
         if Revision::of(theirs) == Revision::of(&current.version) {
@@ -283,7 +284,7 @@
     /// does not reach that far back; none if there is no list that may be shared.
     pub fn answer_pull(&self, now: Micros, from: &Version) -> Option<Listing> {
         let current = self.current.as_ref().filter(|_| self.may_share())?;
-        let age_us = (now - current.service_heard_at).max(0) as u64;
+        let age_us = (now - current.last_service_contact_at).max(0) as u64;
         let after = Some(current.version);
         let first_change = self.history.iter().position(|change| change.before.as_ref() == Some(from));
         if let Some(first) = first_change {
@@ -332,10 +333,10 @@
         &mut self,
         version: Version,
         hosts: BTreeMap<String, Target>,
-        service_heard_at: Micros,
+        last_service_contact_at: Micros,
         now: Micros,
     ) {
-        self.current = Some(CurrentList { version, hosts, service_heard_at, received_at: now });
+        self.current = Some(CurrentList { version, hosts, last_service_contact_at, received_at: now });
     }
 
     /// Applies changed hosts to the current list, and returns its new version.
@@ -343,7 +344,7 @@
         &mut self,
         revision: Revision,
         targets: &[Target],
-        service_heard_at: Micros,
+        last_service_contact_at: Micros,
         now: Micros,
     ) -> Version {
         let Some(current) = &mut self.current else { return Version::default() };
@@ -359,7 +360,7 @@
             }
         }
         current.version = Version { generation: revision.generation, rev: revision.rev, digest };
-        current.service_heard_at = current.service_heard_at.max(service_heard_at);
+        current.last_service_contact_at = current.last_service_contact_at.max(last_service_contact_at);
         current.received_at = now;
         current.version
     }
--- a/crates/peers/src/membership/health.rs
+++ b/crates/peers/src/membership/health.rs
@@ -52,7 +52,7 @@
         let one_way_loss = 1.0 - (1.0 - self.probe_loss).max(0.0).sqrt();
         self.packet_loss = one_way_loss.powf(1.0 / self.probe_copies as f64);
         self.probe_copies =
-            PROBE_COPY_LOSS_THRESHOLDS.iter().filter(|from| self.packet_loss >= **from).count();
+            PROBE_COPY_LOSS_THRESHOLDS.iter().filter(|threshold| self.packet_loss >= **threshold).count();
     }
 
     /// Returns the suspicion timeout for these estimates and a recent stall of this length.
--- a/crates/peers/src/membership/states.rs
+++ b/crates/peers/src/membership/states.rs
@@ -79,34 +79,34 @@
     }
 
     /// Records that the sender of a message is alive, even if no gossip has mentioned it yet.
-    pub fn observe_alive(&mut self, now: Micros, who: &Member, out: &mut Output) {
+    pub fn observe_alive(&mut self, now: Micros, member: &Member, out: &mut Output) {
         let known = self.foca.iter_membership_state().len();
         if self.has_left
-            || who.address == self.me().address
-            || self.live.contains(who)
+            || member.address == self.me().address
+            || self.live.contains(member)
             || known >= self.max_members
         {
             return;
         }
-        let state = foca::Member::alive(who.clone());
+        let state = foca::Member::alive(member.clone());
         self.call_foca(now, out, |foca, collected| foca.apply_many([state].into_iter(), true, collected));
     }
 
     /// Records that a member has left the cluster.
-    pub fn member_left(&mut self, now: Micros, who: &Member, out: &mut Output) {
-        let known = |m: &foca::Member<Member>| (m.id() == who).then(|| m.state());
-        match self.foca.iter_membership_state().find_map(known) {
+    pub fn member_left(&mut self, now: Micros, member: &Member, out: &mut Output) {
+        let stored_state = |m: &foca::Member<Member>| (m.id() == member).then(|| m.state());
+        match self.foca.iter_membership_state().find_map(stored_state) {
             None => return,
             // Gossip that the member is down arrived before its own message.
-            Some(State::Down) => return out.changes.push(Change::Left(who.clone())),
+            Some(State::Down) => return out.changes.push(Change::Left(member.clone())),
             Some(_) => {}
         }
-        let state = foca::Member::down(who.clone());
+        let state = foca::Member::down(member.clone());
         let before = out.changes.len();
         self.call_foca(now, out, |foca, collected| foca.apply_many([state].into_iter(), true, collected));
         for change in &mut out.changes[before..] {
-            if matches!(change, Change::Lost(m) if m == who) {
-                *change = Change::Left(who.clone());
+            if matches!(change, Change::Lost(m) if m == member) {
+                *change = Change::Left(member.clone());
             }
         }
     }
--- a/crates/peers/src/peers/status.rs
+++ b/crates/peers/src/peers/status.rs
@@ -28,7 +28,7 @@
     pub fn list(&self, now: Micros) -> Option<HostListStatus> {
         Some(HostListStatus {
             version: self.lists.version()?,
-            hosts: self.lists.hosts(),
+            hosts: self.lists.host_count(),
             age: self.lists.age(now)?,
         })
     }
--- a/crates/peers/src/peers/suspicion.rs
+++ b/crates/peers/src/peers/suspicion.rs
@@ -38,10 +38,10 @@
         self.membership.record_message_from(at);
         self.relayed_suspicions.retain(|relayed| now - relayed.at < RELAY_RETENTION);
         let relayed = std::mem::take(&mut self.relayed_suspicions);
-        let (heard, others): (Vec<_>, Vec<_>) =
+        let (confirmed, others): (Vec<_>, Vec<_>) =
             relayed.into_iter().partition(|relayed| relayed.suspect == at);
         self.relayed_suspicions = others;
-        for relayed in heard {
+        for relayed in confirmed {
             self.send(
                 relayed.requester,
                 codec::encode_packet(self.cluster_hash, PacketBody::Heard(source.clone())),
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -108,7 +108,7 @@
 /// A suspicion, sent to the suspect or to a relay.
 #[derive(Clone, PartialEq, Message)]
 pub struct Suspected {
-    /// The member that suspects another; a relay replaces it by itself.
+    /// The member that suspects another, or the relay, which inserts its own identity.
     #[prost(message, optional, tag = "1")]
     pub by: Option<Identity>,
     /// The suspect.
@@ -117,7 +117,7 @@
     /// The incarnation of the suspect that is suspected.
     #[prost(uint32, tag = "3")]
     pub incarnation: u32,
-    /// Whether the receiver is asked to relay the suspicion to the suspect.
+    /// Whether the receiver is to relay the suspicion to the suspect.
     #[prost(bool, tag = "4")]
     pub through: bool,
 }
