--- a/crates/capacity/src/chart.rs
+++ b/crates/capacity/src/chart.rs
@@ -30,7 +30,7 @@
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let largest = series.points.iter().map(|p| f64::from(p.size)).fold(1.0, f64::max) * AXIS_MARGIN;
-    let highest = series.points.iter().map(|p| p.most()).fold(f64::MIN_POSITIVE, f64::max) * AXIS_MARGIN;
+    let highest = series.points.iter().map(|p| p.max()).fold(f64::MIN_POSITIVE, f64::max) * AXIS_MARGIN;
     let title = format!("{}: {}, {}", report.experiment, series.name, series.unit);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
@@ -38,17 +38,17 @@
         .x_label_area_size(35)
         .y_label_area_size(70)
         .build_cartesian_2d(0.0..largest, 0.0..highest)?;
-    chart.configure_mesh().x_desc(report.size_is).y_desc(series.unit).draw()?;
+    chart.configure_mesh().x_desc(report.size_label).y_desc(series.unit).draw()?;
     let medians = series.points.iter().map(|p| (f64::from(p.size), p.median()));
     chart.draw_series(LineSeries::new(medians, MEASURED.stroke_width(2)))?;
     for point in &series.points {
         let size = f64::from(point.size);
-        let spread = vec![(size, point.least()), (size, point.most())];
+        let spread = vec![(size, point.min()), (size, point.max())];
         chart.draw_series([PathElement::new(spread, MEASURED.stroke_width(1))])?;
         chart.draw_series([Circle::new((size, point.median()), 3, MEASURED.filled())])?;
     }
-    if let Some(law) = &series.law {
-        let line = [(0.0, law.at(0.0)), (largest, law.at(largest))];
+    if let Some(fit) = &series.linear_fit {
+        let line = [(0.0, fit.value_at(0.0)), (largest, fit.value_at(largest))];
         chart.draw_series(LineSeries::new(line, FITTED.stroke_width(1)))?;
     }
     area.present()?;
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of a run.
+//! Errors of a run.
 
 use crate::chart::DrawError;
 use crate::{Micros, SECOND};
@@ -9,70 +9,70 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     /// No experiment has this name.
-    #[error("{0:?} is no experiment; `roselock-capacity list` names them")]
+    #[error("unknown experiment {0:?}; `roselock-capacity list` prints their names")]
     UnknownExperiment(String),
-    /// A size or a number is not one.
+    /// An argument is not a whole number.
     #[error("{argument}: {text:?} is not a whole number")]
-    NotANumber {
+    InvalidNumber {
         /// The argument.
         argument: &'static str,
         /// Its text.
         text: String,
     },
-    /// A number is out of its range.
-    #[error("{argument}: {value} is not between {least} and {most}")]
+    /// An argument is out of range.
+    #[error("{argument}: {value} is not between {min} and {max}")]
     OutOfRange {
         /// The argument.
         argument: &'static str,
         /// Its value.
         value: u64,
-        /// The least valid value.
-        least: u64,
+        /// The smallest valid value.
+        min: u64,
         /// The largest valid value.
-        most: u64,
+        max: u64,
     },
-    /// A law needs more sizes than were given.
-    #[error("--sizes: {given} different sizes, at least {needed} are needed")]
+    /// There are too few sizes to fit a line.
+    #[error("--sizes: {given} distinct sizes, at least {needed} are required")]
     TooFewSizes {
-        /// The number of different sizes that were given.
+        /// The number of distinct sizes given.
         given: usize,
-        /// The number of sizes that are needed.
+        /// The required number of sizes.
         needed: usize,
     },
     /// The run exceeded its time limit.
-    #[error("the run took longer than --most-seconds {seconds}; size {size} was not played")]
-    OutOfTime {
+    #[error("the run exceeded --most-seconds {seconds} before size {size}")]
+    TimeLimitExceeded {
         /// The limit, in seconds.
         seconds: u64,
-        /// The size that was to be played next.
+        /// The first size that was not simulated.
         size: u32,
     },
-    /// The simulation did not reach the state that is to be measured.
-    #[error("the simulation has not reached {state} after {} s", by / SECOND)]
-    NotReached {
+    /// The simulation did not reach the state to be measured in time.
+    #[error("the simulation did not reach this state within {} s: {state}", at / SECOND)]
+    StateNotReached {
         /// The state.
         state: &'static str,
-        /// The simulated time by then.
-        by: Micros,
+        /// The simulated time at which the simulation ended.
+        at: Micros,
     },
     /// The decision module rejected its settings.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
     /// A chart could not be drawn.
-    #[error("the chart: {0}")]
+    #[error("cannot draw the chart: {0}")]
     Chart(#[from] DrawError),
     /// The figures could not be serialized as JSON.
-    #[error("JSON: {0}")]
+    #[error("cannot serialize the figures: {0}")]
     Json(#[from] serde_json::Error),
     /// A file could not be written.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot write {}: {source}", path.display())]
     Write {
         /// Its path.
         path: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// The system did not return the processor time.
-    #[error("processor time: {0}")]
-    Clock(#[from] nix::Error),
+    /// The processor time could not be read.
+    #[error("cannot read the processor time: {0}")]
+    ProcessorTime(#[from] nix::Error),
 }
--- a/crates/capacity/src/experiment/interval.rs
+++ b/crates/capacity/src/experiment/interval.rs
@@ -4,16 +4,16 @@
 use crate::error::CapacityError;
 use crate::simulated_dispatcher::{Counts, SimulatedDispatcher};
 
-/// What a dispatcher did within an interval.
+/// The counters of a dispatcher over an interval.
 pub(super) struct Interval {
-    /// Differences of the counters between the two ends.
+    /// The increase of each counter.
     pub(super) counts: Counts,
     /// The length, in simulated seconds.
     seconds: i64,
 }
 
 impl Interval {
-    /// Advances the simulated time by this many seconds, and measures what the dispatcher does meanwhile.
+    /// Advances the simulated time by this many seconds, and measures the dispatcher meanwhile.
     ///
     /// # Errors
     /// As [`SimulatedDispatcher::advance`].
--- a/crates/capacity/src/experiment/list.rs
+++ b/crates/capacity/src/experiment/list.rs
@@ -1,24 +1,24 @@
-//! The bytes of the endpoint list and of a change of it, by the number of workers.
+//! The size of the endpoint list and of one change by the number of workers.
 
-use super::{Experiment, MOST_WORKERS, WORKERS};
+use super::{Experiment, MAX_WORKERS, WORKER_COUNTS};
 use crate::error::CapacityError;
 use crate::figure::Figure;
-use crate::listing;
+use crate::payloads;
 
-/// The experiment.
+/// The experiment `list-bytes`.
 pub const EXPERIMENT: Experiment = Experiment {
     name: "list-bytes",
-    about: "bytes of the list, of a change, and of the list as members pass it on",
-    size_is: "workers",
-    sizes: WORKERS,
-    most: MOST_WORKERS,
-    play,
+    description: "size of the endpoint list, of one change, and of the list as members exchange it",
+    size_label: "workers",
+    sizes: WORKER_COUNTS,
+    max_size: MAX_WORKERS,
+    simulate,
 };
 
-fn play(size: u32, _seed: u64) -> Result<Vec<Figure>, CapacityError> {
-    let complete = listing::json_list(true, 0..size).len();
-    let change = listing::json_list(false, size - 1..size).len();
-    let frame = listing::peer_frame(size).len();
+fn simulate(size: u32, _seed: u64) -> Result<Vec<Figure>, CapacityError> {
+    let complete = payloads::endpoint_list_json(true, 0..size).len();
+    let change = payloads::endpoint_list_json(false, size - 1..size).len();
+    let frame = payloads::peer_list_frame(size).len();
     Ok(vec![
         Figure::counted("whole list", "bytes", complete as f64),
         Figure::counted("change of one line", "bytes", change as f64),
--- a/crates/capacity/src/experiment/mod.rs
+++ b/crates/capacity/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! The experiments: each measures how the cost grows with one kind of size.
+//! The experiments, each of which measures how a cost scales with one parameter of the installation, its size.
 
 mod accelerators;
 mod batch;
@@ -17,25 +17,25 @@
 use crate::error::CapacityError;
 use crate::figure::Figure;
 
-/// Sizes of experiments by the number of workers: up to the target of 2,900, and 5,000 beyond it.
-const WORKERS: &[u32] = &[60, 300, 725, 1_450, 2_900, 5_000];
+/// The default numbers of workers: up to the target of 2,900, and 5,000 beyond it.
+const WORKER_COUNTS: &[u32] = &[60, 300, 725, 1_450, 2_900, 5_000];
 /// The largest number of workers that can be requested.
-const MOST_WORKERS: u32 = 20_000;
+const MAX_WORKERS: u32 = 20_000;
 
-/// An experiment: it plays one size at a time in simulated time.
+/// An experiment, which simulates one size at a time.
 pub struct Experiment {
-    /// Its name on the command line.
+    /// The name on the command line.
     pub name: &'static str,
-    /// What it shows.
-    pub about: &'static str,
+    /// What the experiment measures.
+    pub description: &'static str,
     /// What a size counts.
-    pub size_is: &'static str,
+    pub size_label: &'static str,
     /// The default sizes.
     pub sizes: &'static [u32],
     /// The largest size that can be requested.
-    pub most: u32,
-    /// Plays one size with a seed.
-    pub play: fn(u32, u64) -> Result<Vec<Figure>, CapacityError>,
+    pub max_size: u32,
+    /// Simulates a size with a seed; returns the measured figures.
+    pub simulate: fn(u32, u64) -> Result<Vec<Figure>, CapacityError>,
 }
 
 /// All experiments.
@@ -51,9 +51,9 @@
     list::EXPERIMENT,
     batch::EXPERIMENT,
     discovery_load::COLD_START,
-    discovery_load::WATCHES_BREAK,
+    discovery_load::WATCHES_END,
     members::EXPERIMENT,
-    members::JOIN,
+    members::BY_WORKERS,
     partition::EXPERIMENT,
 ];
 
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,63 +1,70 @@
-//! Straight lines fitted to measured points, and the point from which on the growth is no longer linear.
+//! Least-squares lines through measured points, and the size from which the growth is no longer linear.
 
 use serde::Serialize;
 
-/// The fewest points that show whether growth is linear.
-pub const FEWEST: usize = 4;
-/// The largest residual of a point on the line, as a fraction of its value.
-pub const TOLERANCE: f64 = 0.15;
-/// The fewest points to which a line is fitted in the search for a bend.
-const BEGINNING: usize = 3;
-/// The smallest scale of a relative residual, as a fraction of the largest value.
-const FLOOR: f64 = 0.01;
+/// The fewest points for which linearity is assessed.
+pub const MIN_POINTS: usize = 4;
+/// The largest residual of a point that counts as on the line, as a fraction of its value.
+pub const MAX_RELATIVE_RESIDUAL: f64 = 0.15;
+/// The fewest leading points to which a line is fitted in the search for the first nonlinear size.
+const MIN_PREFIX_POINTS: usize = 3;
+/// The smallest denominator of a relative residual, as a fraction of the largest value.
+const MIN_RESIDUAL_SCALE: f64 = 0.01;
 
 /// A measured value at a size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
     /// The size.
     pub size: f64,
-    /// What was measured there.
+    /// The measured value.
     pub value: f64,
 }
 
-/// `slope x size + constant`, by least squares.
+/// `slope x size + constant`, fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Law {
-    /// Growth with each unit of size.
+pub struct LinearFit {
+    /// Growth per unit of size.
     pub slope: f64,
-    /// What is there at size 0.
+    /// The value at size 0.
     pub constant: f64,
-    /// The largest distance of a point from the line, as a share of the point's value.
-    pub largest_residual_share: f64,
-    /// The size from which on the law is another one; none where all points are within [`TOLERANCE`] of the line.
-    pub bends_at: Option<f64>,
+    /// The largest residual of a point, as a fraction of its value.
+    #[serde(rename = "largest_residual_share")]
+    pub max_relative_residual: f64,
+    /// The first size off the line through the sizes before it; none if all points are within [`MAX_RELATIVE_RESIDUAL`].
+    #[serde(rename = "bends_at")]
+    pub nonlinear_from: Option<f64>,
 }
 
-impl Law {
+impl LinearFit {
     /// The value of the line at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.slope * size + self.constant
     }
 
-    /// The law of some points, sorted by size; none where they are fewer than [`FEWEST`].
-    pub fn fit(points: &[Point]) -> Option<Law> {
-        if points.len() < FEWEST {
+    /// Fits a line to points sorted by size; none if there are fewer than [`MIN_POINTS`].
+    pub fn fit(points: &[Point]) -> Option<LinearFit> {
+        if points.len() < MIN_POINTS {
             return None;
         }
-        let whole = line(points);
-        let bends_at = if whole.largest_residual_share > TOLERANCE { Some(bend(points)) } else { None };
-        Some(Law { bends_at, ..whole })
+        let fit = least_squares(points);
+        let nonlinear_from = if fit.max_relative_residual > MAX_RELATIVE_RESIDUAL {
+            Some(first_nonlinear_size(points))
+        } else {
+            None
+        };
+        Some(LinearFit { nonlinear_from, ..fit })
     }
 }
 
-/// The size of the first point that does not lie on a line with those before it.
-fn bend(points: &[Point]) -> f64 {
-    let off = |count: &usize| line(&points[..*count]).largest_residual_share > TOLERANCE;
-    let first = (BEGINNING..=points.len()).find(off).unwrap_or(points.len());
+/// The size of the first point that is not collinear with those before it.
+fn first_nonlinear_size(points: &[Point]) -> f64 {
+    let nonlinear =
+        |count: &usize| least_squares(&points[..*count]).max_relative_residual > MAX_RELATIVE_RESIDUAL;
+    let first = (MIN_PREFIX_POINTS..=points.len()).find(nonlinear).unwrap_or(points.len());
     points[first - 1].size
 }
 
-fn line(points: &[Point]) -> Law {
+fn least_squares(points: &[Point]) -> LinearFit {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|p| p.size).sum::<f64>() / count;
     let mean_value = points.iter().map(|p| p.value).sum::<f64>() / count;
@@ -66,11 +73,11 @@
     let slope = if variance > 0.0 { covariance / variance } else { 0.0 };
     let constant = mean_value - slope * mean_size;
     let largest = points.iter().map(|p| p.value.abs()).fold(0.0, f64::max);
-    let share = |p: &Point| {
+    let relative_residual = |p: &Point| {
         let residual = (p.value - slope * p.size - constant).abs();
-        let scale = p.value.abs().max(FLOOR * largest);
+        let scale = p.value.abs().max(MIN_RESIDUAL_SCALE * largest);
         if scale > 0.0 { residual / scale } else { 0.0 }
     };
-    let largest_residual_share = points.iter().map(share).fold(0.0, f64::max);
-    Law { slope, constant, largest_residual_share, bends_at: None }
+    let max_relative_residual = points.iter().map(relative_residual).fold(0.0, f64::max);
+    LinearFit { slope, constant, max_relative_residual, nonlinear_from: None }
 }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! `roselock-capacity`: measures how the cost of a dispatcher grows with its surroundings.
+//! `roselock-capacity`: measures how the cost of a dispatcher scales with its installation.
 
 use std::process::ExitCode;
 
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -1,15 +1,15 @@
-//! Processor time and memory of an operation on this thread.
+//! Measures the processor time and memory of an operation on the current thread.
 
 use crate::error::CapacityError;
 use nix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Resources that an operation used.
+/// Resources used by an operation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Processor time of the thread.
     pub processor: Duration,
-    /// Allocations made.
+    /// The number of allocations.
     pub allocations: u64,
     /// Bytes allocated and not freed.
     pub bytes_retained: i64,
@@ -42,10 +42,10 @@
     }
 }
 
-/// Runs an operation and measures its resources. The processor time includes that of counting allocations.
+/// Runs an operation and measures its resources. The processor time includes the overhead of counting allocations.
 ///
 /// # Errors
-/// [`CapacityError::Clock`] if the processor time cannot be read.
+/// [`CapacityError::ProcessorTime`] if the processor time cannot be read.
 pub fn measure<T>(operation: impl FnOnce() -> T) -> Result<(T, ResourceUsage), CapacityError> {
     let mut result = None;
     let before = processor_time()?;
@@ -63,6 +63,6 @@
 }
 
 fn processor_time() -> Result<Duration, CapacityError> {
-    let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_err(CapacityError::Clock)?;
+    let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_err(CapacityError::ProcessorTime)?;
     Ok(Duration::from(time))
 }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,40 +1,41 @@
-//! The figures of a run by size, with their laws, as a table and as JSON.
+//! The figures of a run by size with their fitted lines, as a table and as JSON.
 
 use crate::error::CapacityError;
-use crate::figure::{Figure, Kind};
-use crate::fit::{Law, Point};
+use crate::figure::{Figure, FigureKind};
+use crate::fit::{LinearFit, Point};
 use serde::Serialize;
 use std::fmt::Write;
 
-/// A figure at one size, over all plays.
+/// The values of one figure at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Measured {
+pub struct Samples {
     /// The size.
     pub size: u32,
-    /// The value of each play, in their order.
-    pub plays: Vec<f64>,
+    /// One value per repetition, in order.
+    #[serde(rename = "plays")]
+    pub values: Vec<f64>,
 }
 
-impl Measured {
+impl Samples {
     fn sorted(&self) -> Vec<f64> {
-        let mut sorted = self.plays.clone();
+        let mut sorted = self.values.clone();
         sorted.sort_by(f64::total_cmp);
         sorted
     }
 
-    /// The median of the plays; of two in the middle, the lower.
+    /// The median; the lower one of two middle values.
     pub fn median(&self) -> f64 {
         let sorted = self.sorted();
         sorted.get(sorted.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
     }
 
-    /// The least of the plays.
-    pub fn least(&self) -> f64 {
+    /// The smallest value.
+    pub fn min(&self) -> f64 {
         self.sorted().first().copied().unwrap_or(0.0)
     }
 
-    /// The most of the plays.
-    pub fn most(&self) -> f64 {
+    /// The largest value.
+    pub fn max(&self) -> f64 {
         self.sorted().last().copied().unwrap_or(0.0)
     }
 }
@@ -46,69 +47,72 @@
     pub name: &'static str,
     /// Its unit.
     pub unit: &'static str,
-    /// Whether it is the same for the same seed.
-    pub kind: Kind,
+    /// Whether it is deterministic for a seed.
+    pub kind: FigureKind,
     /// The measured values by size.
-    pub points: Vec<Measured>,
-    /// Fitted to the medians; none where there are too few sizes.
-    pub law: Option<Law>,
+    pub points: Vec<Samples>,
+    /// The line through the medians; none if there are too few sizes.
+    #[serde(rename = "law")]
+    pub linear_fit: Option<LinearFit>,
 }
 
 impl Series {
-    /// The value at a size, if that was played.
-    pub fn at(&self, size: u32) -> Option<f64> {
-        self.points.iter().find(|p| p.size == size).map(Measured::median)
+    /// The median at a size, if that was simulated.
+    pub fn median_at(&self, size: u32) -> Option<f64> {
+        self.points.iter().find(|p| p.size == size).map(Samples::median)
     }
 
     fn fit(&mut self) {
-        let point = |m: &Measured| Point { size: f64::from(m.size), value: m.median() };
+        let point = |m: &Samples| Point { size: f64::from(m.size), value: m.median() };
         let points: Vec<Point> = self.points.iter().map(point).collect();
-        self.law = Law::fit(&points);
+        self.linear_fit = LinearFit::fit(&points);
     }
 }
 
-/// A run of an experiment.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Its name.
+    /// The name of the experiment.
     pub experiment: &'static str,
     /// What a size counts.
-    pub size_is: &'static str,
-    /// The seed of the first play; the next one has the next.
+    #[serde(rename = "size_is")]
+    pub size_label: &'static str,
+    /// The seed of the first repetition; each further one adds 1.
     pub seed: u64,
-    /// Plays of each size.
-    pub plays: u32,
+    /// Repetitions of each size.
+    #[serde(rename = "plays")]
+    pub repetitions: u32,
     /// The figures.
     pub series: Vec<Series>,
 }
 
 impl Report {
     /// A report without figures.
-    pub fn new(experiment: &'static str, size_is: &'static str, seed: u64, plays: u32) -> Report {
-        Report { experiment, size_is, seed, plays, series: Vec::new() }
+    pub fn new(experiment: &'static str, size_label: &'static str, seed: u64, repetitions: u32) -> Report {
+        Report { experiment, size_label, seed, repetitions, series: Vec::new() }
     }
 
-    /// Adds the figures of one play of a size.
+    /// Adds the figures of one repetition at a size.
     pub fn add(&mut self, size: u32, figures: &[Figure]) {
         for figure in figures {
-            let points = self.points_of(figure);
+            let points = self.samples_of(figure);
             match points.iter_mut().find(|p| p.size == size) {
-                Some(point) => point.plays.push(figure.value),
-                None => points.push(Measured { size, plays: vec![figure.value] }),
+                Some(point) => point.values.push(figure.value),
+                None => points.push(Samples { size, values: vec![figure.value] }),
             }
         }
     }
 
-    fn points_of(&mut self, figure: &Figure) -> &mut Vec<Measured> {
+    fn samples_of(&mut self, figure: &Figure) -> &mut Vec<Samples> {
         let index = self.series.iter().position(|s| s.name == figure.name).unwrap_or_else(|| {
             let Figure { name, unit, kind, .. } = *figure;
-            self.series.push(Series { name, unit, kind, points: Vec::new(), law: None });
+            self.series.push(Series { name, unit, kind, points: Vec::new(), linear_fit: None });
             self.series.len() - 1
         });
         &mut self.series[index].points
     }
 
-    /// Fits each figure to a line.
+    /// Fits a line to each figure.
     pub fn fit(&mut self) {
         for series in &mut self.series {
             series.fit();
@@ -128,63 +132,63 @@
         Ok(serde_json::to_string_pretty(self)?)
     }
 
-    /// The figures as a table in Markdown: for each size the median, with the least and the largest value if plays differ.
+    /// The figures as a table in Markdown: for each size the median, with the smallest and the largest value if they differ.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
             text,
             "{} by {}; seeds {} to {}, {} plays of each size: median (least to most)\n",
             self.experiment,
-            self.size_is,
+            self.size_label,
             self.seed,
-            self.seed + u64::from(self.plays.saturating_sub(1)),
-            self.plays
+            self.seed + u64::from(self.repetitions.saturating_sub(1)),
+            self.repetitions
         );
         let sizes: Vec<u32> =
             self.series.first().map_or(Vec::new(), |s| s.points.iter().map(|p| p.size).collect());
-        let heads: Vec<String> = sizes.iter().map(u32::to_string).collect();
+        let headers: Vec<String> = sizes.iter().map(u32::to_string).collect();
         let _ = writeln!(
             text,
             "| figure | unit | kind | {} | slope | constant | largest residual | bends at |",
-            heads.join(" | ")
+            headers.join(" | ")
         );
         let _ = writeln!(text, "|{}", " --- |".repeat(sizes.len() + 7));
         for series in &self.series {
-            let _ = writeln!(text, "{}", row(series));
+            let _ = writeln!(text, "{}", table_row(series));
         }
         text
     }
 }
 
-fn row(series: &Series) -> String {
+fn table_row(series: &Series) -> String {
     let kind = match series.kind {
-        Kind::Counted => "counted",
-        Kind::Timed => "timed",
+        FigureKind::Counted => "counted",
+        FigureKind::Timed => "timed",
     };
-    let cells: Vec<String> = series.points.iter().map(cell).collect();
-    let law = match &series.law {
+    let cells: Vec<String> = series.points.iter().map(table_cell).collect();
+    let fit = match &series.linear_fit {
         None => "- | - | - | -".to_owned(),
-        Some(law) => format!(
+        Some(fit) => format!(
             "{} | {} | {:.0}% | {}",
-            number(law.slope),
-            number(law.constant),
-            law.largest_residual_share * 100.0,
-            law.bends_at.map_or("no".to_owned(), number)
+            format_number(fit.slope),
+            format_number(fit.constant),
+            fit.max_relative_residual * 100.0,
+            fit.nonlinear_from.map_or("no".to_owned(), format_number)
         ),
     };
-    format!("| {} | {} | {kind} | {} | {law} |", series.name, series.unit, cells.join(" | "))
+    format!("| {} | {} | {kind} | {} | {fit} |", series.name, series.unit, cells.join(" | "))
 }
 
-fn cell(measured: &Measured) -> String {
-    let (least, most) = (measured.least(), measured.most());
-    if least == most {
-        return number(least);
+fn table_cell(measured: &Samples) -> String {
+    let (min, max) = (measured.min(), measured.max());
+    if min == max {
+        return format_number(min);
     }
-    format!("{} ({} to {})", number(measured.median()), number(least), number(most))
+    format!("{} ({} to {})", format_number(measured.median()), format_number(min), format_number(max))
 }
 
-/// A number with about three significant digits.
-pub fn number(value: f64) -> String {
+/// Formats a number with about three significant digits.
+pub fn format_number(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         size if size >= 100.0 => format!("{value:.0}"),
--- a/crates/capacity/src/simulated_dispatcher.rs
+++ b/crates/capacity/src/simulated_dispatcher.rs
@@ -1,4 +1,4 @@
-//! A simulated dispatcher: the decision module with its timers, clients and workers in simulated time.
+//! Simulates a dispatcher: the decision module with its timers, clients and workers in simulated time.
 
 use crate::error::CapacityError;
 use crate::meter::{ResourceUsage, measure};
@@ -16,20 +16,20 @@
 /// The interval between two progress reports of a running task.
 const PROGRESS_INTERVAL: Micros = SECOND;
 
-/// The clients' requests.
+/// The request load of the clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
     /// Mean requests per second; the arrivals are a Poisson process.
     pub per_second: f64,
     /// How long each task runs.
     pub task_duration: Micros,
-    /// Fraction of the requests that are urgent, at a site with that class.
+    /// The fraction of urgent requests, at a site with that class.
     pub urgent_fraction: f64,
 }
 
 impl Load {
     /// A load without urgent requests.
-    pub const fn plain(per_second: f64, task_duration: Micros) -> Load {
+    pub const fn without_urgent(per_second: f64, task_duration: Micros) -> Load {
         Load { per_second, task_duration, urgent_fraction: 0.0 }
     }
 }
@@ -39,15 +39,15 @@
 pub struct Counts {
     /// Steps of the decision module.
     pub steps: u64,
-    /// Events passed to it.
+    /// Events passed to the decision module.
     pub events: u64,
-    /// Actions it returned.
+    /// Actions that the decision module returned.
     pub actions: u64,
-    /// Timers among the actions.
+    /// Timers that the actions set.
     pub timers: u64,
     /// Requests to the discovery service.
     pub watch_requests: u64,
-    /// Requests of clients.
+    /// Requests that arrived from clients.
     pub requests: u64,
     /// Attempts sent.
     pub sends: u64,
@@ -113,7 +113,7 @@
     attempts: u32,
 }
 
-/// A worker of this dispatcher alone.
+/// A worker that serves only this dispatcher.
 #[derive(Default)]
 struct Worker {
     running: u32,
@@ -166,17 +166,17 @@
         })
     }
 
-    /// A dispatcher that has polled discovery and has its endpoint list.
+    /// A dispatcher that has polled discovery and received its endpoint list.
     ///
     /// # Errors
-    /// As [`SimulatedDispatcher::new`] and [`SimulatedDispatcher::step`]; [`CapacityError::NotReached`] if it did not poll in
+    /// As [`SimulatedDispatcher::new`] and [`SimulatedDispatcher::step`]; [`CapacityError::StateNotReached`] if it did not poll in
     /// time.
     pub fn with_endpoint_list(site: Site, seed: u64) -> Result<SimulatedDispatcher, CapacityError> {
         let mut simulated = SimulatedDispatcher::new(site, seed)?;
         simulated.step(&[])?;
         simulated.advance(simulated.site.settings().safety.poll_interval)?;
         if simulated.counts.watch_requests == 0 {
-            return Err(CapacityError::NotReached { state: "a call to the list service", by: simulated.now });
+            return Err(CapacityError::StateNotReached { state: "a discovery poll", at: simulated.now });
         }
         Ok(simulated)
     }
@@ -196,7 +196,7 @@
         self.in_flight.len()
     }
 
-    /// The wait of each urgent request for its first start; none for one that was rejected before.
+    /// The time from the arrival of each urgent request to its first start; none if it was rejected before.
     pub fn urgent_waits(&self) -> &[Option<Micros>] {
         &self.urgent_waits
     }
@@ -206,14 +206,14 @@
         &mut self.dispatcher
     }
 
-    /// Starts the load or changes it.
+    /// Starts or replaces the load.
     pub fn start_load(&mut self, load: Load) {
         if self.load.replace(load).is_none() {
             self.schedule(self.now, ScheduledEvent::Request);
         }
     }
 
-    /// Ends the load: no further requests arrive.
+    /// Stops the arrival of requests.
     pub fn end_load(&mut self) {
         self.load = None;
     }
@@ -221,13 +221,13 @@
     /// Passes events to the decision module at the current time; returns the resources used.
     ///
     /// # Errors
-    /// [`CapacityError::Clock`] if the processor time cannot be read.
+    /// [`CapacityError::ProcessorTime`] if the processor time cannot be read.
     pub fn step(&mut self, events: &[Event]) -> Result<ResourceUsage, CapacityError> {
         let mut actions = Vec::new();
         let now = self.now;
         let dispatcher = &mut self.dispatcher;
         let ((), mut usage) = measure(|| dispatcher.step(now, events, &mut actions))?;
-        // The vector of the actions is dropped here.
+        // The vector of the actions is dropped in this function, so its memory is not retained.
         usage.bytes_retained -= (actions.capacity() * size_of::<Action>()) as i64;
         self.last_step_at = Some(now);
         self.counts.steps += 1;
@@ -235,17 +235,17 @@
         self.counts.actions += actions.len() as u64;
         self.counts.usage += usage;
         for action in actions {
-            self.apply(&action);
+            self.perform(&action);
         }
         Ok(usage)
     }
 
-    /// Advances the simulated time by a span.
+    /// Advances the simulated time by a duration.
     ///
     /// # Errors
     /// As [`SimulatedDispatcher::step`].
-    pub fn advance(&mut self, span: Micros) -> Result<(), CapacityError> {
-        let end = self.now + span;
+    pub fn advance(&mut self, duration: Micros) -> Result<(), CapacityError> {
+        let end = self.now + duration;
         while let Some(at) = self.next_step_at().filter(|at| *at <= end) {
             self.now = at;
             let mut events = Vec::new();
@@ -260,7 +260,7 @@
         Ok(())
     }
 
-    /// The next scheduled event, if it is due by this time.
+    /// Removes and returns the next scheduled event if it is due.
     fn pop_due(&mut self, now: Micros) -> Option<ScheduledEvent> {
         let Reverse((at, _, event)) = *self.queue.peek()?;
         if at > now {
@@ -270,7 +270,7 @@
         Some(event)
     }
 
-    /// The time of the next step: when an event is due, at most once per tick.
+    /// The time of the next step: when the next event is due, but at most one step per tick.
     fn next_step_at(&self) -> Option<Micros> {
         let due = self.queue.peek()?.0.0;
         let earliest = self.last_step_at.map_or(due, |last| last + self.tick);
@@ -282,7 +282,7 @@
         self.queue.push(Reverse((at, self.scheduled_count, event)));
     }
 
-    /// The event that the decision module receives for a scheduled one, if any.
+    /// Handles a scheduled event; returns the event for the decision module, if any.
     fn handle(&mut self, event: ScheduledEvent) -> Option<Event> {
         match event {
             ScheduledEvent::Timer(token) => Some(Event::TimerFired(token)),
@@ -290,17 +290,17 @@
             ScheduledEvent::Request => self.next_request(),
             ScheduledEvent::Arrived(id) => self.attempt_arrived(id),
             ScheduledEvent::Started(id) => self.attempt_started(id),
-            ScheduledEvent::Progress(id) => self.progress(id),
-            ScheduledEvent::Ended(id) => self.end(id, Outcome::Ok),
-            ScheduledEvent::Cancelled(id) => self.end(id, Outcome::Cancelled),
+            ScheduledEvent::Progress(id) => self.report_progress(id),
+            ScheduledEvent::Ended(id) => self.end_attempt(id, Outcome::Ok),
+            ScheduledEvent::Cancelled(id) => self.end_attempt(id, Outcome::Cancelled),
         }
     }
 
-    /// A request arrives, and the next one is scheduled.
+    /// Creates a request and schedules the next one.
     fn next_request(&mut self) -> Option<Event> {
         let load = self.load?;
-        let wait = -(1.0 - self.random.rand_float()).ln() / load.per_second;
-        self.schedule(self.now + (wait * SECOND as f64) as Micros, ScheduledEvent::Request);
+        let interarrival_s = -(1.0 - self.random.rand_float()).ln() / load.per_second;
+        self.schedule(self.now + (interarrival_s * SECOND as f64) as Micros, ScheduledEvent::Request);
         self.next_job += 1;
         self.counts.requests += 1;
         let draw = self.random.rand_range(0..u64::from(u32::MAX)) as u32;
@@ -310,7 +310,7 @@
         Some(Event::JobArrived(self.site.job(self.next_job, draw, urgent)))
     }
 
-    /// At its worker an attempt starts at once, waits, or is rejected.
+    /// An attempt that arrives at its worker starts, is queued, or is rejected.
     fn attempt_arrived(&mut self, id: AttemptId) -> Option<Event> {
         let worker = self.workers.entry(self.in_flight.get(&id)?.worker).or_default();
         if worker.running < self.site.accelerators {
@@ -318,7 +318,7 @@
             return self.attempt_started(id);
         }
         if worker.waiting.len() >= QUEUE_PER_ACCELERATOR * self.site.accelerators as usize {
-            return self.end(id, Outcome::Rejected);
+            return self.end_attempt(id, Outcome::Rejected);
         }
         worker.waiting.push_back(id);
         None
@@ -342,7 +342,7 @@
         })
     }
 
-    fn progress(&mut self, id: AttemptId) -> Option<Event> {
+    fn report_progress(&mut self, id: AttemptId) -> Option<Event> {
         self.in_flight.get(&id)?;
         self.schedule(self.now + PROGRESS_INTERVAL, ScheduledEvent::Progress(id));
         Some(Event::AttemptProgress {
@@ -352,8 +352,8 @@
         })
     }
 
-    /// An attempt ends, and the next one in the queue of its worker starts.
-    fn end(&mut self, id: AttemptId, outcome: Outcome) -> Option<Event> {
+    /// Ends an attempt and starts the next one in the queue of its worker.
+    fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Option<Event> {
         let attempt = self.in_flight.remove(&id)?;
         let worker = self.workers.entry(attempt.worker).or_default();
         // As on the platform, a load report is older than the message that carries it: it still counts the ended task as
@@ -379,7 +379,7 @@
     }
 
     /// Performs an action of the decision module.
-    fn apply(&mut self, action: &Action) {
+    fn perform(&mut self, action: &Action) {
         match action {
             Action::Timer { delay, token } => {
                 self.counts.timers += 1;
@@ -394,12 +394,12 @@
                 let id = AttemptId { job: job.0, attempt: *attempt };
                 self.schedule(self.now + 2 * NETWORK_DELAY, ScheduledEvent::Cancelled(id));
             }
-            Action::Reject { job, .. } | Action::Fail { job } => self.reject(job.0),
+            Action::Reject { job, .. } | Action::Fail { job } => self.record_rejection(job.0),
             Action::HealthCheck(_) | Action::CloseIdleConnections(_) | Action::Log { .. } => {}
         }
     }
 
-    fn reject(&mut self, job: u32) {
+    fn record_rejection(&mut self, job: u32) {
         self.counts.rejected += 1;
         let request = self.requests.remove(&job);
         if request.is_some_and(|request| request.urgent && !request.started) {
--- a/crates/capacity/src/simulated_members.rs
+++ b/crates/capacity/src/simulated_members.rs
@@ -1,7 +1,7 @@
-//! Simulated members: dispatchers in one membership (`crates/peers`) in simulated time, with the discovery service that some
-//! of them watch. No message is lost and no member stops: faults are covered by the tests of that crate.
+//! Simulates dispatchers as members of one cluster (`crates/peers`), with the discovery service that some of them watch. No
+//! message is lost and no member stops: the tests of that crate cover faults.
 
-use crate::listing;
+use crate::payloads;
 use crate::{Micros, SECOND};
 use oorandom::Rand64;
 use roselock_peers::codec;
@@ -14,9 +14,9 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// Members whose addresses are configured as seeds.
+/// The number of members whose addresses are configured as seeds.
 const SEED_MEMBERS: u32 = 3;
-/// Members that watch the discovery service.
+/// The number of members that watch the discovery service.
 const WATCHERS: usize = 6;
 /// The number of zones.
 const ZONE_COUNT: u32 = 10;
@@ -32,16 +32,16 @@
 const LONGEST_PARTITION: Micros = 300 * SECOND;
 /// The age at which an endpoint list is stale.
 const STALE_AFTER: Micros = 10 * SECOND;
-/// The limit of the members.
+/// The largest number of members.
 const MAX_MEMBERS: usize = 8_192;
-/// The members' cluster.
+/// The name of the cluster.
 const CLUSTER: &str = "capacity";
-/// Bytes of the length prefix of a frame.
+/// The size of the length prefix of a frame.
 const FRAME_LENGTH_BYTES: usize = 4;
 
-/// An event at a point in simulated time; members are named by their index.
-enum Occurrence {
-    /// The timer of a member; it is cancelled if the member has set a later generation.
+/// An event at a point in simulated time; members are identified by their index.
+enum ScheduledEvent {
+    /// The timer of a member, with its generation; ignored if the member has set a later timer.
     TimerFired(usize, u64),
     Datagram(usize, Vec<u8>),
     RequestArrived {
@@ -51,7 +51,7 @@
     },
     ResponseArrived {
         to: usize,
-        at: SocketAddr,
+        address: SocketAddr,
         answer: Option<Vec<u8>>,
     },
     ListReceived(usize),
@@ -61,19 +61,19 @@
 
 struct SimulatedMember {
     peers: Peers,
-    /// The generation of its latest timer.
+    /// The generation of the latest timer.
     timer_generation: u64,
-    watches: bool,
+    is_watching: bool,
     started_at: Micros,
     list_received_at: Option<Micros>,
-    /// The latest version that it has, and when it received that.
-    notified: Option<Notification>,
+    /// The latest received version of the endpoint list.
+    latest_version: Option<ReceivedVersion>,
     frame_bytes: u64,
 }
 
-/// A version of the endpoint list as received by a member.
+/// The version of an endpoint list, and arrives_at a member received it.
 #[derive(Clone, Copy)]
-struct Notification {
+struct ReceivedVersion {
     version: u64,
     at: Micros,
 }
@@ -81,7 +81,7 @@
 /// Traffic of all members since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams.
+    /// Datagrams sent.
     pub packets: u64,
     /// Bytes of the datagrams.
     pub bytes: u64,
@@ -89,24 +89,24 @@
     pub change_bytes: u64,
     /// Bytes of responses over TCP.
     pub frame_bytes: u64,
-    /// The largest exchange of membership lists, in bytes of both directions.
-    pub largest_exchange: u64,
+    /// Bytes of the largest exchange of membership lists, in both directions together.
+    pub max_exchange_bytes: u64,
 }
 
 /// The members, their discovery service and the simulated time.
-pub struct Members {
+pub struct SimulatedMembers {
     now: Micros,
     count: u32,
     members: Vec<SimulatedMember>,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
-    pending: Vec<Option<Occurrence>>,
+    pending: Vec<Option<ScheduledEvent>>,
     free_slots: Vec<usize>,
     scheduled_count: u64,
     random: Rand64,
     endpoints: Vec<Target>,
     version: u64,
     changed_at: Micros,
-    largest_exchange: u64,
+    max_exchange_bytes: u64,
     change_bytes: u64,
 }
 
@@ -120,27 +120,27 @@
     matches!(codec::decode_packet(codec::cluster_hash(CLUSTER), packet), Ok(PacketBody::Change(_)))
 }
 
-/// Whether a frame is an exchange of membership lists.
-fn is_exchange(frame: &[u8]) -> bool {
+/// Whether a frame carries a membership list.
+fn is_membership_exchange(frame: &[u8]) -> bool {
     let decoded = codec::decode_frame(codec::cluster_hash(CLUSTER), frame);
     matches!(decoded, Ok((_, FrameBody::Members(_))))
 }
 
 /// The index of the member with this address.
-fn member_index(at: SocketAddr) -> usize {
-    match at {
-        SocketAddr::V4(at) => {
-            let [_, _, high, low] = at.ip().octets();
+fn member_index(address: SocketAddr) -> usize {
+    match address {
+        SocketAddr::V4(address) => {
+            let [_, _, high, low] = address.ip().octets();
             usize::from(high) << 8 | usize::from(low)
         }
         SocketAddr::V6(_) => usize::MAX,
     }
 }
 
-impl Members {
-    /// A discovery service with `workers` workers for `count` members, of which none has started.
-    pub fn new(count: u32, workers: u32, seed: u64) -> Members {
-        let mut members = Members {
+impl SimulatedMembers {
+    /// A discovery service with `workers` workers for `count` members, none of which has started.
+    pub fn new(count: u32, workers: u32, seed: u64) -> SimulatedMembers {
+        let mut members = SimulatedMembers {
             now: 0,
             count,
             members: Vec::new(),
@@ -149,57 +149,57 @@
             free_slots: Vec::new(),
             scheduled_count: 0,
             random: Rand64::new(u128::from(seed)),
-            endpoints: (0..workers).map(listing::target).collect(),
+            endpoints: (0..workers).map(payloads::peer_target).collect(),
             version: 1,
             changed_at: 0,
-            largest_exchange: 0,
+            max_exchange_bytes: 0,
             change_bytes: 0,
         };
-        members.schedule(HEARTBEAT_INTERVAL, Occurrence::Heartbeat);
+        members.schedule(HEARTBEAT_INTERVAL, ScheduledEvent::Heartbeat);
         members
     }
 
     /// Starts the next member.
-    pub fn start(&mut self) {
-        let me = self.members.len();
+    pub fn start_member(&mut self) {
+        let index = self.members.len();
         let seed = self.random.rand_u64();
-        let peers = Peers::new(self.settings(me), seed, self.now);
+        let peers = Peers::new(self.settings(index), seed, self.now);
         self.members.push(SimulatedMember {
             peers,
             timer_generation: 0,
-            watches: false,
+            is_watching: false,
             started_at: self.now,
             list_received_at: None,
-            notified: None,
+            latest_version: None,
             frame_bytes: 0,
         });
-        self.set_timer(me);
+        self.schedule_timer(index);
     }
 
-    /// Starts all members within a second.
-    pub fn start_all(&mut self) {
+    /// Starts all members, evenly distributed over one second.
+    pub fn start_all_members(&mut self) {
         for member in 0..self.count {
             self.run_until(self.now.max(i64::from(member) * SECOND / i64::from(self.count)));
-            self.start();
+            self.start_member();
         }
     }
 
-    fn settings(&self, me: usize) -> Settings {
+    fn settings(&self, index: usize) -> Settings {
         let generation = 1 + self.now as u64 / 1_000;
-        let zone = format!("zone-{}", me as u32 % ZONE_COUNT);
-        let name = format!("dispatcher-{me:04}");
+        let zone = format!("zone-{}", index as u32 % ZONE_COUNT);
+        let name = format!("dispatcher-{index:04}");
         Settings {
             me: Member {
                 name: name.as_str().into(),
-                address: member_address(me),
+                address: member_address(index),
                 generation,
                 renewal: 0,
                 zone: zone.as_str().into(),
-                number: me as u32,
+                number: index as u32,
             },
             cluster: CLUSTER.into(),
             seeds: (0..SEED_MEMBERS.min(self.count)).map(|seed| member_address(seed as usize)).collect(),
-            configured: Fleet { size: self.count, me: me as u32 },
+            configured: Fleet { size: self.count, me: index as u32 },
             watchers: WATCHERS,
             stale_after: STALE_AFTER,
             longest_partition: LONGEST_PARTITION,
@@ -216,7 +216,7 @@
     pub fn traffic(&self) -> Traffic {
         let mut traffic = Traffic {
             change_bytes: self.change_bytes,
-            largest_exchange: self.largest_exchange,
+            max_exchange_bytes: self.max_exchange_bytes,
             ..Traffic::default()
         };
         for member in &self.members {
@@ -228,47 +228,47 @@
         traffic
     }
 
-    /// The time from the start of each member to its first endpoint list, sorted; none while a member has no list.
+    /// The times from the start of each member to its first endpoint list, sorted; none while a member has no list.
     pub fn list_delays(&self) -> Option<Vec<Micros>> {
         let delay = |member: &SimulatedMember| member.list_received_at.map(|at| at - member.started_at);
-        let mut all = self.members.iter().map(delay).collect::<Option<Vec<Micros>>>()?;
-        all.sort_unstable();
-        Some(all)
+        let mut delays = self.members.iter().map(delay).collect::<Option<Vec<Micros>>>()?;
+        delays.sort_unstable();
+        Some(delays)
     }
 
-    /// The time from the latest change to its arrival at each member, sorted; none while a member does not have it.
+    /// The times from the latest change to its arrival at each member, sorted; none until all members have received it.
     pub fn notification_delays(&self) -> Option<Vec<Micros>> {
         let delay = |member: &SimulatedMember| {
-            let latest = member.notified.filter(|notification| notification.version == self.version)?;
+            let latest = member.latest_version.filter(|received| received.version == self.version)?;
             Some(latest.at - self.changed_at)
         };
-        let mut all = self.members.iter().map(delay).collect::<Option<Vec<Micros>>>()?;
-        all.sort_unstable();
-        Some(all)
+        let mut delays = self.members.iter().map(delay).collect::<Option<Vec<Micros>>>()?;
+        delays.sort_unstable();
+        Some(delays)
     }
 
-    /// Whether each member knows all others.
+    /// Whether each member sees all others as alive.
     pub fn all_members_connected(&self) -> bool {
         self.members.iter().all(|member| member.peers.live().len() + 1 == self.members.len())
     }
 
-    /// Drains one worker: the discovery service notifies the members that watch it.
+    /// Drains one worker; the discovery service notifies its watchers.
     pub fn drain_worker(&mut self, worker: u32) {
         self.version += 1;
         self.changed_at = self.now;
         let target = &mut self.endpoints[worker as usize];
         target.state = 2;
-        let news =
+        let update =
             ListUpdate { complete: false, rev: self.version, targets: vec![target.clone()], requested_at: 0 };
         for member in 0..self.members.len() {
-            if self.members[member].watches {
+            if self.members[member].is_watching {
                 let at = self.now + self.random_delay();
-                self.schedule(at, Occurrence::WatchEvent(member, news.clone()));
+                self.schedule(at, ScheduledEvent::WatchEvent(member, update.clone()));
             }
         }
     }
 
-    /// Advances the simulated time.
+    /// Advances the simulated time to this point.
     pub fn run_until(&mut self, until: Micros) {
         while let Some(Reverse((at, _, slot))) = self.queue.peek().copied().filter(|next| next.0.0 <= until) {
             self.queue.pop();
@@ -285,7 +285,7 @@
         self.random.rand_range(MIN_DELAY_US..MAX_DELAY_US) as Micros
     }
 
-    fn schedule(&mut self, at: Micros, occurrence: Occurrence) {
+    fn schedule(&mut self, at: Micros, occurrence: ScheduledEvent) {
         self.scheduled_count += 1;
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.pending.push(None);
@@ -295,13 +295,13 @@
         self.queue.push(Reverse((at, self.scheduled_count, slot)));
     }
 
-    /// Schedules the timer of a member by its next deadline; earlier timers no longer count.
-    fn set_timer(&mut self, index: usize) {
+    /// Schedules the timer of a member at its next deadline, which replaces earlier timers.
+    fn schedule_timer(&mut self, index: usize) {
         let member = &mut self.members[index];
         member.timer_generation += 1;
         let generation = member.timer_generation;
         let deadline = member.peers.next_deadline();
-        self.schedule(deadline.max(self.now), Occurrence::TimerFired(index, generation));
+        self.schedule(deadline.max(self.now), ScheduledEvent::TimerFired(index, generation));
     }
 
     /// Passes an event to a member and performs its actions.
@@ -312,14 +312,14 @@
         peers.handle(self.now, event, &mut actions);
         let deadline_changed = peers.next_deadline() != deadline;
         for action in actions {
-            self.apply(member, action);
+            self.perform(member, action);
         }
         if deadline_changed {
-            self.set_timer(member);
+            self.schedule_timer(member);
         }
     }
 
-    fn apply(&mut self, member: usize, action: Action) {
+    fn perform(&mut self, member: usize, action: Action) {
         match action {
             Action::Send(to, packet) => {
                 let to = member_index(to);
@@ -329,30 +329,30 @@
                     self.change_bytes += packet.len() as u64;
                 }
                 if to < self.members.len() {
-                    self.schedule(at, Occurrence::Datagram(to, packet));
+                    self.schedule(at, ScheduledEvent::Datagram(to, packet));
                 }
             }
             Action::Request(to, frame) => self.send_request(member, to, &frame),
             Action::UpdateHosts(..) => self.record_list(member),
             Action::Watch(mode) => self.set_watch_mode(member, mode),
             Action::ReloadList(_) => {
-                self.members[member].watches = false;
-                self.schedule(self.now + CALL_DURATION, Occurrence::ListReceived(member));
+                self.members[member].is_watching = false;
+                self.schedule(self.now + CALL_DURATION, ScheduledEvent::ListReceived(member));
             }
             Action::Fleet(_) | Action::MemberChanged(_) => {}
         }
     }
 
-    fn send_request(&mut self, from: usize, at: SocketAddr, frame: &[u8]) {
-        let to = member_index(at);
-        let when = self.now + 3 * self.random_delay();
+    fn send_request(&mut self, from: usize, address: SocketAddr, frame: &[u8]) {
+        let to = member_index(address);
+        let arrives_at = self.now + 3 * self.random_delay();
         if to < self.members.len() {
             self.schedule(
-                when,
-                Occurrence::RequestArrived { from, to, frame: frame[FRAME_LENGTH_BYTES..].to_vec() },
+                arrives_at,
+                ScheduledEvent::RequestArrived { from, to, frame: frame[FRAME_LENGTH_BYTES..].to_vec() },
             );
         } else {
-            self.schedule(when, Occurrence::ResponseArrived { to: from, at, answer: None });
+            self.schedule(arrives_at, ScheduledEvent::ResponseArrived { to: from, address, answer: None });
         }
     }
 
@@ -362,61 +362,61 @@
         let member = &mut self.members[member];
         member.list_received_at.get_or_insert(now);
         let version = member.peers.list(now).map_or(0, |list| list.version.rev);
-        if member.notified.is_none_or(|notification| notification.version != version) {
-            member.notified = Some(Notification { version, at: now });
+        if member.latest_version.is_none_or(|received| received.version != version) {
+            member.latest_version = Some(ReceivedVersion { version, at: now });
         }
     }
 
     fn set_watch_mode(&mut self, member: usize, mode: WatchMode) {
-        let watches = self.members[member].watches;
+        let watching = self.members[member].is_watching;
         match mode {
-            WatchMode::Off if watches => {
-                self.members[member].watches = false;
+            WatchMode::Off if watching => {
+                self.members[member].is_watching = false;
                 self.handle_event(member, Event::WatchClosed);
             }
-            WatchMode::Now | WatchMode::Paced if !watches => {
-                self.schedule(self.now + CALL_DURATION, Occurrence::ListReceived(member))
+            WatchMode::Now | WatchMode::Paced if !watching => {
+                self.schedule(self.now + CALL_DURATION, ScheduledEvent::ListReceived(member))
             }
             WatchMode::Off | WatchMode::Now | WatchMode::Paced => {}
         }
     }
 
-    fn handle(&mut self, occurrence: Occurrence) {
+    fn handle(&mut self, occurrence: ScheduledEvent) {
         match occurrence {
-            Occurrence::TimerFired(member, generation) => {
+            ScheduledEvent::TimerFired(member, generation) => {
                 if self.members[member].timer_generation == generation {
                     self.handle_event(member, Event::Tick);
-                    self.set_timer(member);
+                    self.schedule_timer(member);
                 }
             }
-            Occurrence::Datagram(to, packet) => self.handle_event(to, Event::Datagram(&packet)),
-            Occurrence::RequestArrived { from, to, frame } => self.request_arrived(from, to, &frame),
-            Occurrence::ResponseArrived { to, at, answer } => {
-                self.handle_event(to, Event::Response(at, answer.as_deref()))
+            ScheduledEvent::Datagram(to, packet) => self.handle_event(to, Event::Datagram(&packet)),
+            ScheduledEvent::RequestArrived { from, to, frame } => self.request_arrived(from, to, &frame),
+            ScheduledEvent::ResponseArrived { to, address, answer } => {
+                self.handle_event(to, Event::Response(address, answer.as_deref()))
             }
-            Occurrence::ListReceived(member) => {
-                self.members[member].watches = true;
-                let asked = self.now - CALL_DURATION;
-                let news = ListUpdate {
+            ScheduledEvent::ListReceived(member) => {
+                self.members[member].is_watching = true;
+                let call_started_at = self.now - CALL_DURATION;
+                let update = ListUpdate {
                     complete: true,
                     rev: self.version,
                     targets: self.endpoints.clone(),
-                    requested_at: asked,
+                    requested_at: call_started_at,
                 };
-                self.handle_event(member, Event::ListUpdate(news));
+                self.handle_event(member, Event::ListUpdate(update));
             }
-            Occurrence::WatchEvent(member, news) => {
-                if self.members[member].watches {
-                    self.handle_event(member, Event::ListUpdate(news));
+            ScheduledEvent::WatchEvent(member, update) => {
+                if self.members[member].is_watching {
+                    self.handle_event(member, Event::ListUpdate(update));
                 }
             }
-            Occurrence::Heartbeat => {
+            ScheduledEvent::Heartbeat => {
                 let watching: Vec<usize> =
-                    (0..self.members.len()).filter(|member| self.members[*member].watches).collect();
+                    (0..self.members.len()).filter(|member| self.members[*member].is_watching).collect();
                 for member in watching {
                     self.handle_event(member, Event::WatchAlive);
                 }
-                self.schedule(self.now + HEARTBEAT_INTERVAL, Occurrence::Heartbeat);
+                self.schedule(self.now + HEARTBEAT_INTERVAL, ScheduledEvent::Heartbeat);
             }
         }
     }
@@ -424,18 +424,18 @@
     fn request_arrived(&mut self, from: usize, to: usize, frame: &[u8]) {
         let mut actions = Vec::new();
         let answer = self.members[to].peers.handle_request(self.now, frame, &mut actions);
-        let answered = answer.as_ref().map_or(0, Vec::len) as u64;
-        self.members[to].frame_bytes += answered;
-        if is_exchange(frame) {
-            let exchanged = (FRAME_LENGTH_BYTES + frame.len()) as u64 + answered;
-            self.largest_exchange = self.largest_exchange.max(exchanged);
+        let answer_bytes = answer.as_ref().map_or(0, Vec::len) as u64;
+        self.members[to].frame_bytes += answer_bytes;
+        if is_membership_exchange(frame) {
+            let exchange_bytes = (FRAME_LENGTH_BYTES + frame.len()) as u64 + answer_bytes;
+            self.max_exchange_bytes = self.max_exchange_bytes.max(exchange_bytes);
         }
         for action in actions {
-            self.apply(to, action);
+            self.perform(to, action);
         }
-        let at = member_address(to);
-        let when = self.now + 3 * self.random_delay();
-        let answer = answer.map(|whole| whole[FRAME_LENGTH_BYTES..].to_vec());
-        self.schedule(when, Occurrence::ResponseArrived { to: from, at, answer });
+        let address = member_address(to);
+        let arrives_at = self.now + 3 * self.random_delay();
+        let answer = answer.map(|frame| frame[FRAME_LENGTH_BYTES..].to_vec());
+        self.schedule(arrives_at, ScheduledEvent::ResponseArrived { to: from, address, answer });
     }
 }
--- a/crates/capacity/src/site.rs
+++ b/crates/capacity/src/site.rs
@@ -1,4 +1,4 @@
-//! The simulated installation: settings and workers at the requested size.
+//! The simulated installation: settings and workers of the requested size.
 
 use crate::{Micros, SECOND};
 use roselock::{
@@ -6,16 +6,16 @@
     Limits, ListMode, Safety, Settings, Tenant, TenantId, WorkerId, ZoneId,
 };
 
-/// Workers of the target installation.
+/// The number of workers of the target installation.
 pub const TARGET_WORKERS: u32 = 2_900;
-/// Teams with quotas of the target installation.
+/// The number of teams with quotas of the target installation.
 pub const TARGET_TEAMS: u32 = 220;
-/// Zones of the target installation, in three regions.
+/// The number of zones of the target installation, in three regions.
 pub const TARGET_ZONES: u32 = 10;
-/// Dispatchers of the target installation.
+/// The number of dispatchers of the target installation.
 pub const TARGET_DISPATCHERS: u32 = 300;
 /// Task starts per second of the target installation, over all dispatchers.
-pub const TARGET_STARTS: f64 = 300.0;
+pub const TARGET_STARTS_PER_S: f64 = 300.0;
 
 /// Workers per cell.
 const WORKERS_PER_CELL: u32 = 4;
@@ -23,13 +23,13 @@
 const MACHINE_KINDS: u32 = 2;
 /// The duration of slow start.
 const SLOW_START_WINDOW: Micros = 24 * SECOND;
-/// The fraction of its capacity that a worker has at its start.
+/// The fraction of its capacity that a worker has when it starts.
 const INITIAL_CAPACITY_FRACTION: f64 = 0.15;
 /// The latency objective of the class with idempotent jobs.
 const IDEMPOTENT_OBJECTIVE: Micros = SECOND / 5;
 /// The latency objective of the class with jobs that are not idempotent.
 const NON_IDEMPOTENT_OBJECTIVE: Micros = SECOND / 4;
-/// The latency objective of urgent tasks: they are to start within this span.
+/// The latency objective of urgent tasks, measured to their start.
 pub const URGENT_OBJECTIVE: Micros = 2 * SECOND;
 /// The priority weight of an urgent task; that of others is 1.
 const URGENT_PRIORITY_WEIGHT: f64 = 4.0;
@@ -37,25 +37,25 @@
 const URGENT_CLASS: u16 = 2;
 /// The time-out of clients.
 pub const CLIENT_TIMEOUT: Micros = 300 * SECOND;
-/// The shortest span between two steps.
-const TICK: Micros = SECOND / 200;
+/// The shortest interval between two steps.
+const MIN_STEP_INTERVAL: Micros = SECOND / 200;
 
 /// An installation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Site {
-    /// Workers.
+    /// The number of workers.
     pub workers: u32,
-    /// Accelerators of each worker: that many tasks run there at once.
+    /// The number of accelerators per worker, which is the number of tasks that it runs concurrently.
     pub accelerators: u32,
-    /// Teams with quotas.
+    /// The number of teams with quotas.
     pub teams: u32,
-    /// Zones.
+    /// The number of zones.
     pub zones: u32,
-    /// Dispatchers that share the workers.
+    /// The number of dispatchers that share the workers.
     pub dispatchers: u32,
     /// Whether all workers have just started.
     pub warming_up: bool,
-    /// Whether there is a third class, whose tasks are to start within [`URGENT_OBJECTIVE`].
+    /// Whether there is a third class with the latency objective [`URGENT_OBJECTIVE`].
     pub urgent: bool,
 }
 
@@ -91,7 +91,7 @@
         settings.watch_required = true;
         settings.reports_start = true;
         settings.progress_interval = SECOND;
-        settings.tick = TICK;
+        settings.tick = MIN_STEP_INTERVAL;
         settings.limits = limits();
         settings.costs = Costs { cross_zone: 0.03, handshake: 0.02, wasted_work: 0.05, ..Costs::default() };
         settings.safety = Safety {
@@ -106,7 +106,7 @@
     }
 
     fn tenants(&self) -> Vec<Tenant> {
-        let quota_per_s = TARGET_STARTS / f64::from(self.teams.max(1));
+        let quota_per_s = TARGET_STARTS_PER_S / f64::from(self.teams.max(1));
         (0..self.teams).map(|_| Tenant { quota_per_s }).collect()
     }
 
@@ -123,10 +123,10 @@
         }
     }
 
-    /// The complete list with all workers ready; `started` is their start time if they are warming up.
-    pub fn complete_list(&self, started: Micros) -> Event {
+    /// The complete list with all workers ready; `started_at` is their start time if they are warming up.
+    pub fn complete_list(&self, started_at: Micros) -> Event {
         let entries =
-            (0..self.workers).map(|worker| self.entry(worker, EndpointState::Ready, started)).collect();
+            (0..self.workers).map(|worker| self.entry(worker, EndpointState::Ready, started_at)).collect();
         Event::EndpointList { mode: ListMode::Complete, endpoints: entries }
     }
 
@@ -141,7 +141,7 @@
         Event::EndpointList { mode: ListMode::Changes, endpoints: entries }
     }
 
-    /// A request; its team and its class, unless it is urgent, follow from a random number.
+    /// A request. The random number `draw` determines its team and, unless it is urgent, its class.
     pub fn job(&self, id: u32, draw: u32, urgent: bool) -> JobRequest {
         let tenant = (self.teams > 0).then(|| TenantId((draw % self.teams) as u16));
         JobRequest {
