--- a/crates/capacity/src/experiment/members.rs
+++ b/crates/capacity/src/experiment/members.rs
@@ -91,7 +91,8 @@
     let changed = traffic_between(before, members.traffic());
     let delays = notification_delays(&members)?;
     let per_member_per_second = |amount: u64, span: Micros| amount as f64 / f64::from(size) / seconds(span);
-    let quantile_ms = |share: f64| delays[((delays.len() - 1) as f64 * share) as usize] as f64 / 1_000.0;
+    let quantile_ms =
+        |fraction: f64| delays[((delays.len() - 1) as f64 * fraction) as usize] as f64 / 1_000.0;
     let last_list = list_delays.last().copied().unwrap_or(0);
     Ok(vec![
         Figure::counted(
--- a/crates/capacity/src/experiment/urgent.rs
+++ b/crates/capacity/src/experiment/urgent.rs
@@ -57,8 +57,8 @@
     let mut started: Vec<Micros> = waits.iter().flatten().copied().collect();
     started.sort_unstable();
     let in_time = started.iter().filter(|wait| **wait <= URGENT_OBJECTIVE).count() as f64;
-    let quantile_s = |share: f64| {
-        let index = (started.len().saturating_sub(1) as f64 * share) as usize;
+    let quantile_s = |fraction: f64| {
+        let index = (started.len().saturating_sub(1) as f64 * fraction) as usize;
         started.get(index).map_or(0.0, |wait| *wait as f64 / SECOND as f64)
     };
     vec![
--- a/crates/capacity/src/simulated_members.rs
+++ b/crates/capacity/src/simulated_members.rs
@@ -274,8 +274,8 @@
             self.queue.pop();
             self.free_slots.push(slot);
             self.now = self.now.max(at);
-            if let Some(occurrence) = self.pending[slot].take() {
-                self.handle(occurrence);
+            if let Some(event) = self.pending[slot].take() {
+                self.handle(event);
             }
         }
         self.now = self.now.max(until);
@@ -285,13 +285,13 @@
         self.random.rand_range(MIN_DELAY_US..MAX_DELAY_US) as Micros
     }
 
-    fn schedule(&mut self, at: Micros, occurrence: ScheduledEvent) {
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
         self.scheduled_count += 1;
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.pending.push(None);
             self.pending.len() - 1
         });
-        self.pending[slot] = Some(occurrence);
+        self.pending[slot] = Some(event);
         self.queue.push(Reverse((at, self.scheduled_count, slot)));
     }
 
@@ -381,8 +381,8 @@
         }
     }
 
-    fn handle(&mut self, occurrence: ScheduledEvent) {
-        match occurrence {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::TimerFired(member, generation) => {
                 if self.members[member].timer_generation == generation {
                     self.handle_event(member, Event::Tick);
