--- a/crates/job-dependencies/src/conditions.rs
+++ b/crates/job-dependencies/src/conditions.rs
@@ -1,11 +1,12 @@
-//! Prerequisites that end, and the jobs that thereby become ready.
+//! Resolution of prerequisites, and the jobs that become ready as a result.
 
 use crate::job::{EndReason, EndedJob, State};
-use crate::{JobId, Micros, OnUnmet, Outcome, Quorum, Waiting};
+use crate::{JobId, JobQueue, Micros, OnUnmet, Outcome, Quorum};
 
-impl<P> Waiting<P> {
-    /// Applies the outcome of a prerequisite of a job (none: it is unknown); false if the job ends by it.
-    pub(crate) fn settle_prerequisite(
+impl<P> JobQueue<P> {
+    /// Applies the outcome of a prerequisite (`None` if it is unknown) to a dependent job. Returns false if the
+    /// job ends as a result or does not wait for prerequisites any more.
+    pub(crate) fn resolve_prerequisite(
         &mut self,
         key: usize,
         on: JobId,
@@ -28,18 +29,18 @@
         job.open_prerequisites -= 1;
         match (met, job.dependencies.quorum) {
             (true, Quorum::Any) => job.open_prerequisites = 0,
-            // Another one may still meet its condition.
+            // Another prerequisite may still meet its condition.
             (false, Quorum::Any) if job.open_prerequisites > 0 => {}
             (true, Quorum::All) => {}
             (false, _) => {
-                self.end(key, EndReason::Prerequisite(on, outcome), now, ended);
+                self.end(key, EndReason::PrerequisiteUnmet(on, outcome), now, ended);
                 return false;
             }
         }
         true
     }
 
-    /// Advances a job whose prerequisites meet their conditions: it waits for its time, or is ready.
+    /// Moves a job without open prerequisites to the next state: scheduled if it has a start time, otherwise ready.
     pub(crate) fn advance(&mut self, key: usize, now: Micros) {
         let job = &mut self.jobs[key];
         if job.state != State::Held || job.open_prerequisites > 0 {
@@ -56,7 +57,7 @@
         let class = job.class;
         let tenant_state = &mut self.tenants[tenant];
         if tenant_state.queues.len == 0 {
-            // It gets no credit for the time in which it had no jobs ready.
+            // A tenant earns no credit while it has no ready jobs.
             tenant_state.virtual_time = tenant_state.virtual_time.max(self.virtual_time);
             self.by_virtual_time.insert((tenant_state.virtual_time.to_bits(), tenant));
         }
--- a/crates/job-dependencies/src/dependencies.rs
+++ b/crates/job-dependencies/src/dependencies.rs
@@ -1,35 +1,35 @@
-//! What a job waits for.
+//! Prerequisites of a job and the conditions on their outcomes.
 
 use crate::JobId;
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It was served.
+    /// The job was served.
     Served,
-    /// It failed; it did not take effect.
+    /// The job failed and did not take effect.
     Failed,
-    /// It was rejected.
+    /// The job was rejected.
     Refused,
-    /// It is unknown whether it took effect. It counts neither as served nor as failed.
+    /// It is unknown whether the job took effect. This counts neither as served nor as failed.
     Unknown,
-    /// It ended without being released.
+    /// The job ended without being released.
     Dropped,
 }
 
 /// The outcome that a job requires of a prerequisite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Served.
+    /// The prerequisite was served.
     Served,
     /// Any outcome.
     Ended,
-    /// Failed for certain, rejected, or never released.
+    /// The prerequisite definitely failed, was rejected, or was never released.
     Failed,
 }
 
 impl Condition {
-    /// Whether an outcome meets the condition.
+    /// Returns whether an outcome meets the condition.
     pub fn is_met_by(self, outcome: Outcome) -> bool {
         match self {
             Condition::Served => outcome == Outcome::Served,
@@ -42,44 +42,44 @@
 /// How many prerequisites must meet their condition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Quorum {
-    /// All.
+    /// All prerequisites.
     #[default]
     All,
-    /// One.
+    /// At least one prerequisite.
     Any,
 }
 
-/// What happens to a job whose prerequisites cannot meet their conditions any more.
+/// What happens to a job whose prerequisites can no longer meet their conditions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OnUnmet {
-    /// It fails.
+    /// The job fails.
     #[default]
     Fail,
-    /// It runs anyway.
+    /// The job runs anyway.
     Run,
-    /// It ends without a notification.
-    DropQuietly,
+    /// The job ends without a notification.
+    DropSilently,
 }
 
-/// How a prerequisite counts that is not listed and whose outcome is not stored.
+/// How to treat a prerequisite that is neither in the queue nor has a stored outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnknownPrerequisite {
-    /// It does not meet its condition.
+    /// Its condition counts as unmet.
     #[default]
     Unmet,
-    /// It may still be submitted, until the deadline of the job that waits for it.
+    /// It may still be submitted, until the deadline of the dependent job.
     Await,
 }
 
-/// What a job waits for.
+/// The prerequisites of a job and how they are evaluated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Dependencies {
     /// The prerequisites, each with its condition.
     pub prerequisites: Vec<(JobId, Condition)>,
     /// How many of them must meet their condition.
     pub quorum: Quorum,
-    /// What happens if they can't.
+    /// What happens if they no longer can.
     pub on_unmet: OnUnmet,
-    /// How an unknown prerequisite counts.
+    /// How to treat unknown prerequisites.
     pub unknown: UnknownPrerequisite,
 }
--- a/crates/job-dependencies/src/end.rs
+++ b/crates/job-dependencies/src/end.rs
@@ -1,10 +1,10 @@
-//! Ends of jobs, and their stored outcomes.
+//! Completion, cancellation and expiry of jobs, and the store of their outcomes.
 
 use crate::job::{EndReason, EndedJob, Job, State};
-use crate::{JobId, Micros, OnUnmet, Outcome, Waiting};
+use crate::{JobId, JobQueue, Micros, OnUnmet, Outcome};
 
-impl<P> Waiting<P> {
-    /// Records the outcome of a released job; returns the jobs that end because of it.
+impl<P> JobQueue<P> {
+    /// Records the outcome of a released job and returns the dependent jobs that end because of it.
     pub fn complete(&mut self, id: JobId, outcome: Outcome, now: Micros) -> Vec<EndedJob<P>> {
         let mut ended = Vec::new();
         let released = self.by_id.get(&id).copied().filter(|k| self.jobs[*k].state == State::Released);
@@ -14,7 +14,8 @@
         ended
     }
 
-    /// Cancels a job that was not released; returns it and the jobs that end because of it; nothing if there is none.
+    /// Cancels an unreleased job and returns it with the dependent jobs that end because of it. Returns nothing if the
+    /// job does not exist or was already released.
     pub fn cancel(&mut self, id: JobId, now: Micros) -> Vec<EndedJob<P>> {
         let mut ended = Vec::new();
         let key = self.by_id.get(&id).copied().filter(|k| self.jobs[*k].state != State::Released);
@@ -24,8 +25,8 @@
         ended
     }
 
-    /// Advances jobs whose time has come; ends jobs whose deadline has passed, and returns them with the jobs that end because
-    /// of them.
+    /// Advances scheduled jobs whose start time has come and ends unreleased jobs whose deadline has passed. Returns the
+    /// ended jobs, including dependent jobs that end because of them.
     pub fn tick(&mut self, now: Micros, wall: Micros) -> Vec<EndedJob<P>> {
         let mut ended = Vec::new();
         while let Some((at, key)) = self.scheduled.first().copied().filter(|(at, _)| *at <= wall) {
@@ -35,13 +36,13 @@
             self.advance(key, now);
         }
         while let Some((_, key)) = self.deadlines.first().copied().filter(|(deadline, _)| *deadline <= now) {
-            self.end(key, EndReason::Limit, now, &mut ended);
+            self.end(key, EndReason::DeadlineExceeded, now, &mut ended);
         }
-        self.drop_old_outcomes(now);
+        self.evict_outcomes(now);
         ended
     }
 
-    /// Ends all jobs that were not released.
+    /// Ends all unreleased jobs, on shutdown.
     pub fn drain(&mut self, now: Micros) -> Vec<EndedJob<P>> {
         let mut ended = Vec::new();
         while let Some((_, key)) = self.deadlines.first().copied() {
@@ -50,19 +51,19 @@
         ended
     }
 
-    /// Ends a job that was not released, and the jobs that end because of it.
-    pub(crate) fn end(&mut self, key: usize, why: EndReason, now: Micros, ended: &mut Vec<EndedJob<P>>) {
-        self.leave_state(key);
+    /// Ends an unreleased job and the dependent jobs that end because of it.
+    pub(crate) fn end(&mut self, key: usize, reason: EndReason, now: Micros, ended: &mut Vec<EndedJob<P>>) {
+        self.remove_from_indexes(key);
         let at = ended.len();
         let job = self.remove(key, Outcome::Dropped, now, ended);
-        let quietly =
-            matches!(why, EndReason::Prerequisite(..)) && job.dependencies.on_unmet == OnUnmet::DropQuietly;
+        let silent = matches!(reason, EndReason::PrerequisiteUnmet(..))
+            && job.dependencies.on_unmet == OnUnmet::DropSilently;
         if let Some(payload) = job.payload {
-            ended.insert(at, EndedJob { id: job.id, why, quietly, payload });
+            ended.insert(at, EndedJob { id: job.id, reason, silent, payload });
         }
     }
 
-    /// Removes a job, stores its outcome, and settles it with the jobs that wait for it.
+    /// Removes a job, stores its outcome, and applies it to the dependent jobs.
     fn remove(&mut self, key: usize, outcome: Outcome, now: Micros, ended: &mut Vec<EndedJob<P>>) -> Job<P> {
         let job = self.jobs.remove(key);
         self.by_id.remove(&job.id);
@@ -77,17 +78,17 @@
         }
         self.outcomes.insert(job.id, outcome);
         self.outcome_order.push_back((now, job.id));
-        self.drop_old_outcomes(now);
+        self.evict_outcomes(now);
         for dependent in self.dependents.remove(&job.id).unwrap_or_default() {
-            if self.settle_prerequisite(dependent, job.id, Some(outcome), now, ended) {
+            if self.resolve_prerequisite(dependent, job.id, Some(outcome), now, ended) {
                 self.advance(dependent, now);
             }
         }
         job
     }
 
-    /// Removes a job that was not released from the indexes of its state.
-    fn leave_state(&mut self, key: usize) {
+    /// Removes an unreleased job from the indexes of its state and from the deadlines.
+    fn remove_from_indexes(&mut self, key: usize) {
         let job = &self.jobs[key];
         match job.state {
             State::Scheduled => _ = self.scheduled.remove(&(job.not_before.unwrap_or(0), key)),
@@ -106,8 +107,8 @@
         self.deadlines.remove(&(job.deadline, key));
     }
 
-    /// Drops outcomes that are too many or too old. An id that ended twice has two entries.
-    fn drop_old_outcomes(&mut self, now: Micros) {
+    /// Evicts outcomes beyond the maximum number or the retention time. An id that ended twice has two entries.
+    fn evict_outcomes(&mut self, now: Micros) {
         while let Some((at, id)) = self.outcome_order.front().copied() {
             if self.outcome_order.len() <= self.settings.max_outcomes
                 && now - at < self.settings.outcome_retention
--- a/crates/job-dependencies/src/graph.rs
+++ b/crates/job-dependencies/src/graph.rs
@@ -1,18 +1,18 @@
-//! The graph of jobs that wait for one another: cycles and depth.
+//! Cycle detection and chain length in the dependency graph.
 
 use crate::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The cycle that begins at a job, if the jobs that it leads to lead back to it.
-pub(crate) fn cycle(start: JobId, next: impl Fn(JobId) -> Vec<JobId>) -> Option<Vec<JobId>> {
-    let mut reached_from: BTreeMap<JobId, JobId> = BTreeMap::new();
-    let mut unvisited = vec![start];
-    while let Some(at) = unvisited.pop() {
+/// Returns a cycle through `start`, if `start` is reachable from itself along `next`.
+pub(crate) fn find_cycle(start: JobId, next: impl Fn(JobId) -> Vec<JobId>) -> Option<Vec<JobId>> {
+    let mut predecessors: BTreeMap<JobId, JobId> = BTreeMap::new();
+    let mut stack = vec![start];
+    while let Some(at) = stack.pop() {
         for to in next(at) {
             if to == start {
                 let mut cycle = vec![at];
-                while let Some(before) = cycle.last().and_then(|last| reached_from.get(last)) {
-                    cycle.push(*before);
+                while let Some(predecessor) = cycle.last().and_then(|last| predecessors.get(last)) {
+                    cycle.push(*predecessor);
                 }
                 if at == start {
                     cycle = vec![start];
@@ -20,17 +20,17 @@
                 cycle.reverse();
                 return Some(cycle);
             }
-            if let std::collections::btree_map::Entry::Vacant(entry) = reached_from.entry(to) {
+            if let std::collections::btree_map::Entry::Vacant(entry) = predecessors.entry(to) {
                 entry.insert(at);
-                unvisited.push(to);
+                stack.push(to);
             }
         }
     }
     None
 }
 
-/// Length of the longest chain beyond a job, counted level by level up to a bound.
-pub(crate) fn depth(start: JobId, max_depth: usize, next: impl Fn(JobId) -> Vec<JobId>) -> usize {
+/// The number of edges of the longest chain from `start`, counted level by level; `max_depth + 1` if it is longer.
+pub(crate) fn chain_length(start: JobId, max_depth: usize, next: impl Fn(JobId) -> Vec<JobId>) -> usize {
     let mut level: BTreeSet<JobId> = BTreeSet::from([start]);
     for depth in 0..=max_depth {
         level = level.into_iter().flat_map(&next).collect();
--- a/crates/job-dependencies/src/job.rs
+++ b/crates/job-dependencies/src/job.rs
@@ -1,4 +1,4 @@
-//! One job, from its submission to its end.
+//! The data types of a job's life cycle.
 
 use crate::{Dependencies, JobId, Micros, Outcome};
 
@@ -9,51 +9,51 @@
     pub id: JobId,
     /// Its tenant.
     pub tenant: usize,
-    /// 0 is first; at most [`MAX_CLASSES`](crate::MAX_CLASSES) of them.
+    /// Its priority class, from 0 (highest) to below [`MAX_CLASSES`](crate::MAX_CLASSES).
     pub class: usize,
-    /// Not before this time of the wall clock.
+    /// The earliest wall-clock time at which it may be released.
     pub not_before: Option<Micros>,
-    /// What it waits for.
+    /// Its prerequisites.
     pub dependencies: Dependencies,
-    /// The time until which it may wait for its release.
+    /// The monotonic time by which it must be released.
     pub deadline: Micros,
-    /// The payload, which is returned with it.
+    /// Caller data, returned when the job is released or ends unreleased.
     pub payload: P,
 }
 
-/// Why a job is rejected.
+/// Why a submission is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// There is a job with this id.
-    #[error("there is a job with this id")]
+    /// A job with this id exists.
+    #[error("a job with this id already exists")]
     Duplicate,
-    /// There are too many jobs in all.
-    #[error("there are too many jobs")]
-    Jobs,
-    /// There are too many of this tenant.
-    #[error("there are too many jobs of this tenant")]
-    Tenant,
-    /// It has too many prerequisites.
-    #[error("it has too many prerequisites")]
-    Prerequisites,
-    /// Jobs would wait for one another in a cycle: these, in order.
-    #[error("jobs would wait for one another in a cycle: {0:?}")]
+    /// The queue is full.
+    #[error("the maximum number of jobs is reached")]
+    TooManyJobs,
+    /// The tenant has reached its limit.
+    #[error("the maximum number of jobs of this tenant is reached")]
+    TooManyTenantJobs,
+    /// The job has more than [`MAX_PREREQUISITES`](crate::MAX_PREREQUISITES).
+    #[error("the job has too many prerequisites")]
+    TooManyPrerequisites,
+    /// The job would close a dependency cycle; its jobs in order.
+    #[error("the job would close a dependency cycle: {0:?}")]
     Cycle(Vec<JobId>),
-    /// The chain of jobs that wait for one another would be too long.
-    #[error("the chain of jobs that wait for one another would be too long")]
+    /// The dependency chain would exceed [`MAX_DEPTH`](crate::MAX_DEPTH).
+    #[error("the dependency chain would be too long")]
     TooDeep,
 }
 
 /// Why a job ended without a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// A prerequisite does not meet its condition: which one, and its outcome (none: it is unknown).
-    Prerequisite(JobId, Option<Outcome>),
-    /// Its deadline has passed.
-    Limit,
-    /// It was cancelled.
+    /// A prerequisite does not meet its condition: its id and its outcome (`None` if it is unknown).
+    PrerequisiteUnmet(JobId, Option<Outcome>),
+    /// The job was not released before its deadline.
+    DeadlineExceeded,
+    /// The job was cancelled.
     Cancelled,
-    /// The process ends.
+    /// The queue was drained on shutdown.
     Drained,
 }
 
@@ -63,14 +63,14 @@
     /// Its id.
     pub id: JobId,
     /// Why it ended.
-    pub why: EndReason,
-    /// Whether it ends without a notification, as its dependencies request.
-    pub quietly: bool,
-    /// The payload of its submission.
+    pub reason: EndReason,
+    /// Whether to send no notification ([`OnUnmet::DropSilently`](crate::OnUnmet::DropSilently)).
+    pub silent: bool,
+    /// The caller data of its submission.
     pub payload: P,
 }
 
-/// A job that is released: it may run.
+/// A released job, which may now run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReleasedJob<P> {
     /// Its id.
@@ -79,20 +79,20 @@
     pub tenant: usize,
     /// Its class.
     pub class: usize,
-    /// Since when its prerequisites meet their conditions and its time has come.
+    /// When it became ready: its prerequisites met their conditions and its start time had come.
     pub ready_since: Micros,
-    /// The payload of its submission.
+    /// The caller data of its submission.
     pub payload: P,
 }
 
-/// The state of a job. [`Waiting::position`](crate::Waiting::position) returns its number in this order.
+/// The state of a job. [`JobQueue::position`](crate::JobQueue::position) returns its discriminant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Its time has not come.
+    /// Its start time has not come.
     Scheduled,
-    /// Its prerequisites are open.
+    /// It has open prerequisites.
     Held,
-    /// It is in its tenant's queues.
+    /// It is queued for release.
     Ready,
     /// It was released and has not ended.
     Released,
@@ -107,7 +107,7 @@
     pub state: State,
     pub not_before: Option<Micros>,
     pub dependencies: Dependencies,
-    /// Prerequisites without an outcome.
+    /// Number of prerequisites without an outcome.
     pub open_prerequisites: usize,
     pub deadline: Micros,
     pub ready_since: Micros,
--- a/crates/job-dependencies/src/lib.rs
+++ b/crates/job-dependencies/src/lib.rs
@@ -1,17 +1,19 @@
-//! Jobs that are held until their prerequisites meet their conditions, and then released in a fair order with a bounded
-//! wait.
+//! A job queue with dependencies: jobs are held until their prerequisites meet their conditions, then released in fair
+//! order with a bounded wait.
 //!
-//! [`Waiting`] holds a job until its time has come and its prerequisites meet their conditions, then queues it with its
-//! tenant. [`release`](Waiting::release) divides the releases among tenants by their shares (start-time fair
-//! queueing); within a tenant the first class goes first, but one in [`AGEING_INTERVAL`] jobs is the one that has
-//! waited longest. A job that ends without a release is returned once. There is no I/O, no clock and no random source: `now`
-//! is a monotonic clock in microseconds, `wall` the wall clock, which may step either way.
+//! [`JobQueue`] holds a job until its start time has come and its prerequisites meet their conditions, then adds it to
+//! the queues of its tenant. [`release`](JobQueue::release) divides the releases among tenants by their shares
+//! (start-time fair queueing). Within a tenant the lowest class number goes first, but one in [`AGEING_INTERVAL`]
+//! releases is the job that has waited longest. A job that ends without a release is returned exactly once.
 //!
-//! # The longest wait
+//! The crate does no I/O and reads neither a clock nor a random source: `now` is a monotonic clock in microseconds and
+//! `wall` the wall clock, which may step in either direction.
 //!
-//! While a tenant with share `s` of a sum `S` has at most `q` jobs ready and `c` jobs a second are released in all, a
-//! ready job is released within `(AGEING_INTERVAL * q + tenants) * S / (s * c)` seconds: see [`Waiting::longest_wait`].
-//! Shares that are not used go to the others at once, so this is the worst case.
+//! # Bound of the wait
+//!
+//! While a tenant with share `s` of a sum `S` has at most `q` jobs ready and `c` jobs per second are released overall,
+//! a ready job is released within `(AGEING_INTERVAL * q + tenants) * S / (s * c)` seconds: see [`JobQueue::longest_wait`].
+//! Unused shares go to the other tenants immediately, so this is the worst case.
 
 mod conditions;
 mod dependencies;
@@ -30,30 +32,30 @@
 use slab::Slab;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = i64;
-/// A job's id, given by the caller; free again once it has ended.
+/// A job id, chosen by the caller. It can be reused once the job has ended.
 pub type JobId = u64;
 
-/// One in this many of a tenant's releases is the job that has waited longest, whatever its class.
+/// One in this many releases of a tenant is its longest-waiting job regardless of class.
 pub const AGEING_INTERVAL: u32 = 4;
-/// The limit of the prerequisites of one job.
+/// The maximum number of prerequisites of a job.
 pub const MAX_PREREQUISITES: usize = 16;
-/// The longest chain of jobs that wait for one another.
+/// The maximum length of a dependency chain.
 pub const MAX_DEPTH: usize = 16;
-/// The limit of the classes.
+/// The maximum number of classes.
 pub const MAX_CLASSES: usize = 8;
 
-/// Bounds and shares.
+/// Limits of the queue and shares of the tenants.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The tenants' shares, above 0. A tenant beyond these counts as the last.
+    /// The shares of the tenants, each above 0. A tenant index beyond the last is treated as the last.
     pub shares: Vec<f64>,
-    /// The limit of the jobs, released ones included.
+    /// The maximum number of jobs, including released ones.
     pub max_jobs: usize,
-    /// The limit of the jobs of one tenant.
+    /// The maximum number of jobs of one tenant, including released ones.
     pub max_jobs_per_tenant: usize,
-    /// The limit of the stored outcomes of ended jobs.
+    /// The maximum number of stored outcomes of ended jobs.
     pub max_outcomes: usize,
     /// How long outcomes are stored.
     pub outcome_retention: Micros,
@@ -64,53 +66,53 @@
 struct Tenant {
     queues: TenantQueues,
     share: f64,
-    /// Its next release in virtual time.
+    /// The virtual start time of its next release.
     virtual_time: f64,
-    /// Releases since the last one that went by age.
-    since_aged: u32,
-    /// Its jobs, released ones included.
+    /// Releases since the last one that took the oldest job.
+    releases_since_oldest: u32,
+    /// Number of its jobs, including released ones.
     jobs: usize,
 }
 
-/// Jobs that wait, by tenant.
+/// Jobs that have not ended, with the ready ones queued by tenant.
 #[derive(Clone)]
-pub struct Waiting<P> {
+pub struct JobQueue<P> {
     settings: Settings,
     jobs: Slab<Job<P>>,
     links: queues::Links,
     by_id: HashMap<JobId, usize>,
-    /// Keys of the jobs that wait for an id, whether that is a job here or one that is yet to be submitted.
+    /// Keys of the jobs that depend on an id, which may belong to a job that is yet to be submitted.
     dependents: HashMap<JobId, Vec<usize>>,
     tenants: Vec<Tenant>,
-    /// Tenants that have jobs ready, by the bits of their virtual time: these order as the numbers do, which are never
-    /// below 0.
+    /// Tenants with ready jobs, ordered by the bits of their virtual time. The order of the bits is that of the numbers
+    /// because these are never below 0.
     by_virtual_time: BTreeSet<(u64, usize)>,
     virtual_time: f64,
-    /// Scheduled jobs by their time, which is one of the wall clock.
+    /// Scheduled jobs by their wall-clock start time.
     scheduled: BTreeSet<(Micros, usize)>,
-    /// Jobs that were not released, by their deadline.
+    /// Unreleased jobs by deadline.
     deadlines: BTreeSet<(Micros, usize)>,
-    /// Outcomes of ended jobs.
+    /// Stored outcomes of ended jobs.
     outcomes: HashMap<JobId, Outcome>,
-    /// Ended jobs in the order of their ends.
+    /// Ended jobs in the order in which they ended, for eviction.
     outcome_order: VecDeque<(Micros, JobId)>,
 }
 
-impl<P> Waiting<P> {
-    /// An empty list.
+impl<P> JobQueue<P> {
+    /// Creates an empty queue.
     ///
     /// # Panics
-    /// If there are no shares, or one is not above 0.
-    pub fn new(settings: Settings) -> Waiting<P> {
+    /// If there are no shares, or a share is not a finite number above 0.
+    pub fn new(settings: Settings) -> JobQueue<P> {
         assert!(!settings.shares.is_empty() && settings.shares.iter().all(|s| *s > 0.0 && s.is_finite()));
         let tenant = |share: &f64| Tenant {
             queues: TenantQueues::default(),
             share: *share,
             virtual_time: 0.0,
-            since_aged: 0,
+            releases_since_oldest: 0,
             jobs: 0,
         };
-        Waiting {
+        JobQueue {
             tenants: settings.shares.iter().map(tenant).collect(),
             settings,
             jobs: Slab::new(),
@@ -126,10 +128,10 @@
         }
     }
 
-    /// Replaces the shares of the same tenants; the order of waiting jobs follows them from now on.
+    /// Replaces the shares of the tenants. They apply from the next release on.
     ///
     /// # Panics
-    /// If the number of tenants differs, or a share is not above 0.
+    /// If the number of tenants differs, or a share is not a finite number above 0.
     pub fn set_shares(&mut self, shares: &[f64]) {
         assert_eq!(shares.len(), self.tenants.len());
         assert!(shares.iter().all(|s| *s > 0.0 && s.is_finite()));
@@ -139,7 +141,7 @@
         self.settings.shares = shares.to_vec();
     }
 
-    /// Number of jobs, released ones included.
+    /// Number of jobs, including released ones.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -147,27 +149,27 @@
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
-    /// Where a job is: 0 scheduled, 1 held, 2 ready, 3 released; with the number of its prerequisites that have no
-    /// outcome. None if there is no such job.
+    /// The state of a job (0 scheduled, 1 held, 2 ready, 3 released) and the number of its prerequisites without an
+    /// outcome; `None` if there is no such job.
     pub fn position(&self, id: JobId) -> Option<(u8, usize)> {
         let job = &self.jobs[*self.by_id.get(&id)?];
         Some((job.state as u8, job.open_prerequisites))
     }
-    /// The outcome of a job that has ended, as long as it is stored.
+    /// The stored outcome of an ended job.
     pub fn outcome(&self, id: JobId) -> Option<Outcome> {
         self.outcomes.get(&id).copied()
     }
-    /// Number of a tenant's jobs that are ready.
+    /// Number of ready jobs of a tenant.
     pub fn ready_jobs(&self, tenant: usize) -> usize {
         self.tenants[tenant].queues.len
     }
 
-    /// The longest time that a tenant's job waits once it is ready, if at most `queued` of its jobs are ready at a time
-    /// and `per_second` jobs a second are released in all.
+    /// The upper bound of a ready job's wait, provided that at most `queued` jobs of its tenant are ready at a time and
+    /// `per_second` jobs per second are released overall.
     pub fn longest_wait(&self, tenant: usize, queued: usize, per_second: f64) -> Micros {
         let sum: f64 = self.tenants.iter().map(|t| t.share).sum();
         let own_share = self.tenants[tenant].share / sum;
-        let turns = (AGEING_INTERVAL as usize * queued + self.tenants.len()) as f64;
-        (turns / (own_share * per_second) * 1e6).ceil() as Micros
+        let releases = (AGEING_INTERVAL as usize * queued + self.tenants.len()) as f64;
+        (releases / (own_share * per_second) * 1e6).ceil() as Micros
     }
 }
--- a/crates/job-dependencies/src/submit.rs
+++ b/crates/job-dependencies/src/submit.rs
@@ -1,14 +1,14 @@
-//! Submission of jobs.
+//! Submission of jobs and validation of their dependencies.
 
 use crate::job::{EndedJob, Job, NewJob, Rejection, State};
-use crate::{JobId, MAX_CLASSES, MAX_DEPTH, MAX_PREREQUISITES, Micros, UnknownPrerequisite, Waiting, graph};
+use crate::{JobId, JobQueue, MAX_CLASSES, MAX_DEPTH, MAX_PREREQUISITES, Micros, UnknownPrerequisite, graph};
 
-impl<P> Waiting<P> {
-    /// Accepts a job. It may end at once, if a prerequisite does not meet its condition: then it is returned, with the
-    /// jobs that end because of it.
+impl<P> JobQueue<P> {
+    /// Adds a job. If a prerequisite already fails to meet its condition, the job ends immediately and is returned with
+    /// the dependent jobs that end because of it.
     ///
     /// # Errors
-    /// Why the job is rejected.
+    /// A [`Rejection`] if a limit is reached, the id is in use or the dependencies are invalid.
     pub fn submit(
         &mut self,
         new: NewJob<P>,
@@ -20,16 +20,16 @@
             return Err(Rejection::Duplicate);
         }
         if self.jobs.len() >= self.settings.max_jobs {
-            return Err(Rejection::Jobs);
+            return Err(Rejection::TooManyJobs);
         }
         if self.tenants[tenant].jobs >= self.settings.max_jobs_per_tenant {
-            return Err(Rejection::Tenant);
+            return Err(Rejection::TooManyTenantJobs);
         }
         if new.dependencies.prerequisites.len() > MAX_PREREQUISITES {
-            return Err(Rejection::Prerequisites);
+            return Err(Rejection::TooManyPrerequisites);
         }
         self.check_dependencies(&new)?;
-        // The outcome of an earlier job with the same id does not count for this one.
+        // The id is reused: the outcome of the earlier job must not be taken for that of this one.
         self.outcomes.remove(&new.id);
         let mut dependencies = new.dependencies;
         dependencies.prerequisites.sort_unstable_by_key(|on| on.0);
@@ -60,7 +60,7 @@
             let is_job = self.by_id.contains_key(&on);
             if outcome.is_none() && (is_job || unknown == UnknownPrerequisite::Await) {
                 self.dependents.entry(on).or_default().push(key);
-            } else if !self.settle_prerequisite(key, on, outcome, now, &mut ended) {
+            } else if !self.resolve_prerequisite(key, on, outcome, now, &mut ended) {
                 break;
             }
         }
@@ -70,12 +70,12 @@
         Ok(ended)
     }
 
-    /// Whether the job of an id is still at a key.
+    /// Returns whether the job with this id is still stored at `key`.
     fn is_job(&self, key: usize, id: JobId) -> bool {
         self.jobs.get(key).is_some_and(|job| job.id == id)
     }
 
-    /// Rejects cycles, and chains that would be too long.
+    /// Rejects dependency cycles and chains longer than [`MAX_DEPTH`].
     fn check_dependencies(&self, new: &NewJob<P>) -> Result<(), Rejection> {
         let prerequisites_of = |id: JobId| -> Vec<JobId> {
             if id == new.id {
@@ -90,11 +90,11 @@
             let keys = self.dependents.get(&id).into_iter().flatten();
             keys.filter_map(|k| self.jobs.get(*k)).map(|j| j.id).collect()
         };
-        if let Some(cycle) = graph::cycle(new.id, prerequisites_of) {
+        if let Some(cycle) = graph::find_cycle(new.id, prerequisites_of) {
             return Err(Rejection::Cycle(cycle));
         }
-        let below = graph::depth(new.id, MAX_DEPTH, prerequisites_of);
-        let above = graph::depth(new.id, MAX_DEPTH, dependents_of);
-        if below + above > MAX_DEPTH { Err(Rejection::TooDeep) } else { Ok(()) }
+        let prerequisite_depth = graph::chain_length(new.id, MAX_DEPTH, prerequisites_of);
+        let dependent_depth = graph::chain_length(new.id, MAX_DEPTH, dependents_of);
+        if prerequisite_depth + dependent_depth > MAX_DEPTH { Err(Rejection::TooDeep) } else { Ok(()) }
     }
 }
