--- a/crates/gearman-conformance/src/case.rs
+++ b/crates/gearman-conformance/src/case.rs
@@ -1,44 +1,45 @@
-//! Conformance cases as data.
+//! Conformance cases, which are defined in TOML files.
 
 use include_dir::{Dir, include_dir};
 use serde::Deserialize;
 
-/// The files of the cases, which are part of the program.
-static CASES: Dir = include_dir!("$CARGO_MANIFEST_DIR/cases");
+/// The case files, embedded in the binary.
+static CASE_FILES: Dir = include_dir!("$CARGO_MANIFEST_DIR/cases");
 
-/// A transcript.
+/// A conformance case: a sequence of steps and how it is selected.
 ///
-/// Each step is a list of a connection, an operation and its arguments. The connection is a name; it is opened on first use.
-/// The operations:
+/// Each step is a list of a connection name, an operation and its arguments. A connection is opened on first use.
+/// The operations are:
 ///
-/// - `>` sends a packet, `<` expects one: the name of its type, then its arguments;
-/// - `>line` sends an administrator's line, `<line` expects one; `<lines` expects an answer up to a single dot that has each
-///   of the arguments as a line; `<nolines` one that has none of them;
-/// - `>hex` sends bytes; `<end` expects the end of the connection; `close` closes it;
-/// - `until` sends an administrator's line repeatedly until its answer has the second argument as a line;
-/// - `quiet` expects that no packet is in flight: the next one is the echo of a request sent now;
-/// - `sleep` as a worker asks for a job, receives `NO_JOB` and sleeps; `take` expects to be woken, asks for a job, and
-///   expects the assignment with these arguments;
-/// - `pause` waits for a number of milliseconds.
+/// - `>` sends a packet and `<` expects one: the name of its type, then its arguments;
+/// - `>line` sends a line of the administration protocol and `<line` expects one; `<lines` expects a response that ends
+///   with a single dot and has a line that matches each argument, `<nolines` one in which no line matches any of them;
+/// - `>hex` sends bytes given as hexadecimal digits; `<end` expects the server to end the connection; `close` closes it;
+/// - `until` sends a line of the administration protocol repeatedly until a line of the response matches the second
+///   argument;
+/// - `quiet` expects that no packet is pending: it sends an `ECHO_REQ` and the next packet must be its response;
+/// - `sleep` sends `GRAB_JOB`, expects `NO_JOB` and sends `PRE_SLEEP`; `take` expects `NOOP`, sends `GRAB_JOB` and expects
+///   `JOB_ASSIGN` with these arguments;
+/// - `pause` waits for the given number of milliseconds.
 ///
-/// Arguments that are sent: `$F` is the function of the case (`$F2` another one), `$U` its unique id, `$name` a bound value,
-/// `$now+N` the Unix time in N seconds, `%c*N` a character N times; any other text is literal. Expected arguments may also
-/// be: `*` anything, `=name` anything that is not empty, bound to a name, `~text` anything with this prefix, `?text` anything
-/// that contains the text.
+/// In arguments, `$F` stands for the function of the case, `$F2` for a second one, `$U` for its unique id, `$name` for a
+/// bound value, `$now+N` for the Unix time N seconds from now, and `%c*N` for a text repeated N times; anything else is
+/// literal. Patterns of expected arguments may also be `*` (any value), `=name` (any value that is not empty, which is
+/// bound to the name), `~text` (any value with this prefix) and `?text` (any value that contains the text).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
-    /// Its name: its group and what it checks, from the name of its file.
+    /// The name of the file without its extension: a group, followed by what is checked.
     #[serde(skip)]
     pub name: String,
-    /// The section of the specification.
+    /// The section of the protocol specification.
     pub section: String,
-    /// Why it is checked.
+    /// The behaviour that the case checks.
     pub why: String,
-    /// The time limit for each expected message, in milliseconds.
+    /// The timeout of each expected message, in milliseconds.
     #[serde(default = "default_within_ms")]
     pub within_ms: u64,
-    /// The kind of server to which the case applies; none: to all.
+    /// The kind of server to which the case applies; `None` for all servers.
     #[serde(default)]
     pub only: Option<String>,
     /// The steps.
@@ -49,12 +50,12 @@
     4000
 }
 
-/// All cases, by name.
+/// Returns all cases, sorted by name.
 ///
 /// # Panics
-/// If a file is not a valid case: the files are part of the program.
+/// If an embedded file is not a valid case.
 pub fn all() -> Vec<Case> {
-    let mut cases: Vec<Case> = CASES
+    let mut cases: Vec<Case> = CASE_FILES
         .files()
         .filter_map(|file| {
             let stem = file.path().file_stem()?.to_str()?;
--- a/crates/gearman-conformance/src/connection.rs
+++ b/crates/gearman-conformance/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of a case to the server: packets and lines with a deadline.
+//! A client connection to the server under test that reads packets and lines with a deadline.
 
 use roselock_gearman::decode::DecodeError;
 use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic};
@@ -6,30 +6,29 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The longest packet that is accepted, in bytes.
-const MAX_PACKET: usize = 64 << 20;
-/// Bytes that are read at once.
-const READ_BUFFER: usize = 65536;
-/// The shortest time-out of a read: a time-out of 0 is invalid.
-const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+/// The largest packet that is accepted.
+const MAX_PACKET_BYTES: usize = 64 << 20;
+const READ_BUFFER_BYTES: usize = 65536;
+/// The shortest read timeout; the socket API rejects a timeout of 0.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What was received in place of a packet or a line.
+/// Why no packet or line was received.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ReceiveError {
     /// The server closed the connection.
     #[error("the end of the connection")]
     Closed,
-    /// Nothing until the deadline.
-    #[error("nothing")]
+    /// Nothing was received before the deadline.
+    #[error("nothing before the deadline")]
     TimedOut,
-    /// The connection failed.
+    /// Reading from the connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Another frame than a packet.
+    /// A frame that is not a packet.
     #[error("{0:?}")]
     Unexpected(Frame),
-    /// Bytes that are no packet.
-    #[error("no packet: {0:?}")]
+    /// Bytes that are not a valid packet.
+    #[error("an invalid packet: {0:?}")]
     Malformed(DecodeError),
 }
 
@@ -37,8 +36,8 @@
 pub(crate) struct Connection {
     stream: TcpStream,
     decoder: Decoder,
-    /// Bytes that were read for lines and not yet returned.
-    text: Vec<u8>,
+    /// Bytes that were read but not yet returned as lines.
+    line_buffer: Vec<u8>,
 }
 
 impl Connection {
@@ -46,18 +45,18 @@
     pub(crate) fn open(server: SocketAddr) -> io::Result<Connection> {
         let stream = TcpStream::connect(server)?;
         let _ = stream.set_nodelay(true);
-        let limits = Limits { packet: MAX_PACKET, line: 0 };
-        Ok(Connection { stream, decoder: Decoder::new(Magic::Res, limits), text: Vec::new() })
+        let limits = Limits { packet: MAX_PACKET_BYTES, line: 0 };
+        Ok(Connection { stream, decoder: Decoder::new(Magic::Res, limits), line_buffer: Vec::new() })
     }
 
-    /// Writes all bytes within a time-out.
+    /// Writes all bytes, with a timeout.
     pub(crate) fn write(&mut self, bytes: &[u8], timeout: Duration) -> io::Result<()> {
         let _ = self.stream.set_write_timeout(Some(timeout));
         self.stream.write_all(bytes)
     }
 
-    /// The next packet: its type and its arguments.
-    pub(crate) fn packet(&mut self, deadline: Instant) -> Result<(Kind, Vec<u8>), ReceiveError> {
+    /// Reads the next packet; returns its type and its arguments, which are not yet split.
+    pub(crate) fn read_packet(&mut self, deadline: Instant) -> Result<(Kind, Vec<u8>), ReceiveError> {
         loop {
             match self.decoder.next_frame().map_err(ReceiveError::Malformed)? {
                 Some(Frame::Packet(kind, data)) => return Ok((kind, data)),
@@ -71,23 +70,23 @@
         }
     }
 
-    /// The next line of an administrator's answer, without its line ending.
-    pub(crate) fn line(&mut self, deadline: Instant) -> Result<String, ReceiveError> {
+    /// Reads the next line of a response of the administration protocol, without its line ending.
+    pub(crate) fn read_line(&mut self, deadline: Instant) -> Result<String, ReceiveError> {
         loop {
-            if let Some(end) = self.text.iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = self.text.drain(..=end).collect();
+            if let Some(end) = self.line_buffer.iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = self.line_buffer.drain(..=end).collect();
                 return Ok(String::from_utf8_lossy(&line[..end]).into_owned());
             }
             let bytes = self.read(deadline)?;
-            self.text.extend(bytes);
+            self.line_buffer.extend(bytes);
         }
     }
 
-    /// The next bytes.
+    /// Reads the next bytes.
     fn read(&mut self, deadline: Instant) -> Result<Vec<u8>, ReceiveError> {
-        let left = deadline.saturating_duration_since(Instant::now()).max(MIN_TIMEOUT);
-        self.stream.set_read_timeout(Some(left))?;
-        let mut buffer = vec![0; READ_BUFFER];
+        let remaining = deadline.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
+        self.stream.set_read_timeout(Some(remaining))?;
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         match self.stream.read(&mut buffer) {
             Ok(0) => Err(ReceiveError::Closed),
             Ok(length) => {
--- a/crates/gearman-conformance/src/main.rs
+++ b/crates/gearman-conformance/src/main.rs
@@ -5,22 +5,22 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Plays scripted transcripts against a Gearman server on loopback and prints where it differs.
+/// Run the conformance cases against a Gearman server on loopback and print where it differs.
 #[derive(FromArgs)]
 struct Args {
-    /// where the server listens, such as 127.0.0.1:4730
+    /// address of the server, such as 127.0.0.1:4730
     #[argh(option)]
     at: Option<SocketAddr>,
-    /// only cases whose names have this in them
+    /// run or list only cases whose names contain this text
     #[argh(option)]
     filter: Option<String>,
-    /// the kind of server, which plays the cases that only such have, too: roselock
+    /// kind of server; also runs the cases that apply only to it: roselock
     #[argh(option)]
     kind: Option<String>,
-    /// list the cases and play none
+    /// list the cases without running them
     #[argh(switch)]
     list: bool,
-    /// one JSON object a case instead of a table
+    /// print one JSON object per case instead of a table
     #[argh(switch)]
     json: bool,
 }
@@ -28,23 +28,23 @@
 /// The exit status of invalid arguments.
 const INVALID_ARGUMENTS: u8 = 2;
 
-/// Why the arguments name no server to test.
+/// Why the arguments specify no server to test.
 #[derive(Debug, thiserror::Error)]
 enum ServerError {
-    #[error("name the server with --at, or --list the cases")]
+    #[error("specify the server with --at, or list the cases with --list")]
     Missing,
-    #[error("--at {0}: only a server on this machine, at a loopback address")]
+    #[error("--at {0}: the server must be at a loopback address")]
     NotLoopback(SocketAddr),
 }
 
 impl Args {
-    /// Whether a case is to be listed or played.
+    /// Returns whether a case is to be listed or run.
     fn selects(&self, case: &Case) -> bool {
-        let named = self.filter.as_ref().is_none_or(|filter| case.name.contains(filter.as_str()));
-        named && (self.list || case.only.is_none() || case.only == self.kind)
+        let name_matches = self.filter.as_ref().is_none_or(|filter| case.name.contains(filter.as_str()));
+        name_matches && (self.list || case.only.is_none() || case.only == self.kind)
     }
 
-    /// The server to test.
+    /// The address of the server to test.
     fn server(&self) -> Result<SocketAddr, ServerError> {
         let server = self.at.ok_or(ServerError::Missing)?;
         if !server.ip().is_loopback() {
