--- a/crates/gearman-load/src/main.rs
+++ b/crates/gearman-load/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures the Gearman front on loopback and prints tables in Markdown.
+//! Load generator for the Gearman front on loopback. Prints Markdown tables.
 
 mod clients;
 mod depth;
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-/// Measures the Gearman front on loopback, beside a bare relay of the same packets in the same run.
+/// Measure the Gearman front on loopback and compare it with a bare relay of the same packets.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -32,21 +32,21 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct Run {
-    /// the program to measure (default: target/release/roselock)
+    /// path of the program to measure (default: target/release/roselock)
     #[argh(option, default = "PathBuf::from(\"target/release/roselock\")")]
     roselock: PathBuf,
-    /// its configuration (default: example/config.json)
+    /// path of its configuration (default: example/config.json)
     #[argh(option, default = "PathBuf::from(\"example/config.json\")")]
     config: PathBuf,
-    /// seconds for each cell of the rates (default: 2)
+    /// duration of each throughput measurement in seconds (default: 2)
     #[argh(option, default = "2.0")]
     seconds: f64,
-    /// only these, by commas: rate, burst, depth, flood, nagle, step
+    /// comma-separated measurements to run: rate, burst, depth, flood, nagle, step
     #[argh(option, default = "String::from(\"rate,burst,depth,flood,nagle,step\")")]
     only: String,
 }
 
-/// Relay packets between clients and workers without any decision, until killed.
+/// Relay packets between clients and workers without scheduling, until killed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "relay")]
 struct Relay {}
@@ -62,9 +62,9 @@
     Step,
 }
 
-/// The text names no measurement.
+/// `--only` contains an unknown measurement.
 #[derive(Debug, thiserror::Error)]
-#[error("--only {0:?}: one of rate, burst, depth, flood, nagle, step")]
+#[error("--only {0:?}: unknown measurement; expected rate, burst, depth, flood, nagle or step")]
 struct UnknownMeasurement(String);
 
 impl FromStr for Measurement {
@@ -84,7 +84,7 @@
 }
 
 impl Measurement {
-    /// Runs it and prints its table.
+    /// Runs the measurement and prints its table.
     fn run(self, program: &Program, seconds: f64) {
         match self {
             Measurement::Rate => rate::rate(program, seconds),
@@ -97,10 +97,10 @@
     }
 }
 
-/// The threads of the coroutines.
+/// The number of threads that run coroutines.
 const COROUTINE_THREADS: usize = 2;
-/// The stack of a coroutine, in words.
-const COROUTINE_STACK: usize = 16 * 1024;
+/// The stack size of a coroutine, in machine words.
+const COROUTINE_STACK_WORDS: usize = 16 * 1024;
 /// The exit status of invalid arguments.
 const INVALID_ARGUMENTS: u8 = 2;
 
@@ -118,11 +118,11 @@
     }
 }
 
-/// Runs the measurements one after another, each as soon as its name has been read.
+/// Runs the measurements in order. An unknown name is an error only when it is reached.
 fn run(options: Run) -> Result<(), UnknownMeasurement> {
-    may::config().set_workers(COROUTINE_THREADS).set_stack_size(COROUTINE_STACK);
+    may::config().set_workers(COROUTINE_THREADS).set_stack_size(COROUTINE_STACK_WORDS);
     let program = Program { roselock: options.roselock, config: options.config };
-    println!("{}\n", server::machine());
+    println!("{}\n", server::machine_description());
     for name in options.only.split(',') {
         let measurement: Measurement = name.trim().parse()?;
         measurement.run(&program, options.seconds);
--- a/crates/gearman-load/src/step.rs
+++ b/crates/gearman-load/src/step.rs
@@ -1,27 +1,27 @@
-//! The processor time of a step of the decision module, without sockets.
+//! The duration of a step of the dispatcher core, without I/O.
 
 use roselock::*;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Prints the mean time of a step in which one worker becomes free and receives the next job.
+/// Prints the mean duration of a step in which a worker becomes free and is sent the next job.
 pub fn step() {
-    println!("## A step of the decisions\n");
+    println!("## Dispatcher step\n");
     println!(
-        "One job ends, one arrives, one is sent: a step, in µs, with as many jobs waiting as workers.\n"
+        "Mean duration of a step: one job ends, one arrives and one is sent, with as many queued jobs as workers.\n"
     );
     println!("| workers | mean step, µs |");
     println!("| ---: | ---: |");
     for workers in [1, 8, 64, 256] {
-        println!("| {workers} | {:.1} |", mean(workers) * 1e6);
+        println!("| {workers} | {:.1} |", mean_step_seconds(workers) * 1e6);
     }
     println!();
 }
 
-/// Steps that are measured, after as many as [`WARM_UP_STEPS`].
+/// The number of steps, of which the first [`WARM_UP_STEPS`] are not measured.
 const STEPS: usize = 20_000;
 const WARM_UP_STEPS: usize = 1_000;
-/// Simulated time between two steps.
+/// The simulated time between two steps.
 const STEP_INTERVAL: Micros = 200;
 const JOB_BUDGET: Micros = 30 * SECOND;
 
@@ -72,7 +72,7 @@
     LoadReport { free_slots: Some(slots), ..LoadReport::default() }
 }
 
-/// The events of a job that has run.
+/// The events of a job that has completed.
 fn completion(job: JobId) -> [Event; 2] {
     let report = free_slots(0.0);
     [
@@ -81,44 +81,44 @@
     ]
 }
 
-/// The mean time of a step, in seconds.
-fn mean(workers: u64) -> f64 {
+/// Measures the mean duration of a step, in seconds.
+fn mean_step_seconds(workers: u64) -> f64 {
     let mut dispatcher = Dispatcher::new(settings(), 7).expect("valid settings");
     let endpoints = (0..workers).map(endpoint).collect();
     let mut events = vec![Event::EndpointList { mode: ListMode::Complete, endpoints }];
     let idle =
         |worker| Event::HealthCheckEnded { worker: WorkerId(worker), ok: true, report: free_slots(1.0) };
     events.extend((0..workers).map(idle));
-    let mut numbers = 1..;
-    let mut arrive = |events: &mut Vec<Event>| events.extend(numbers.next().map(arrival));
+    let mut job_ids = 1..;
+    let mut push_arrival = |events: &mut Vec<Event>| events.extend(job_ids.next().map(arrival));
     for _ in 0..2 * workers {
-        arrive(&mut events);
+        push_arrival(&mut events);
     }
     let mut running: VecDeque<JobId> = VecDeque::new();
     let mut now = 0;
     let mut actions = Vec::new();
-    let mut steps = 0;
-    let mut spent = 0.0;
-    for turn in 0..STEPS {
+    let mut measured = 0;
+    let mut elapsed = 0.0;
+    for index in 0..STEPS {
         now += STEP_INTERVAL;
         let start = Instant::now();
         dispatcher.step(now, &events, &mut actions);
-        if turn > WARM_UP_STEPS {
-            spent += start.elapsed().as_secs_f64();
-            steps += 1;
+        if index > WARM_UP_STEPS {
+            elapsed += start.elapsed().as_secs_f64();
+            measured += 1;
         }
         events.clear();
         for action in actions.drain(..) {
             match action {
                 Action::Send { job, .. } => running.push_back(job),
-                Action::Reject { .. } | Action::Fail { .. } => arrive(&mut events),
+                Action::Reject { .. } | Action::Fail { .. } => push_arrival(&mut events),
                 _ => {}
             }
         }
         if let Some(job) = running.pop_front() {
             events.extend(completion(job));
-            arrive(&mut events);
+            push_arrival(&mut events);
         }
     }
-    spent / f64::from(steps)
+    elapsed / f64::from(measured)
 }
