--- a/crates/job-dependencies/src/queues.rs
+++ b/crates/job-dependencies/src/queues.rs
@@ -68,11 +68,11 @@
     let next = link.next[list];
     match prev {
         NO_KEY => ends.first = next,
-        key => links.0[key as usize].next[list] = next,
+        prev => links.0[prev as usize].next[list] = next,
     }
     match next {
         NO_KEY => ends.last = prev,
-        key => links.0[key as usize].prev[list] = prev,
+        next => links.0[next as usize].prev[list] = prev,
     }
 }
 
