--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::reply::write_action;
 use crate::wire;
-use roselock::settings::{Options, OptionsError, Site, fnv, micros};
+use roselock::settings::{Options, OptionsError, Site, fnv1a, micros_from_seconds};
 use roselock::*;
 use std::collections::HashMap;
 
@@ -128,19 +128,19 @@
         Ok(Endpoint {
             worker,
             state,
-            zone: ZoneId(self.site.zones.id(&host.site.0) as u16),
+            zone: ZoneId(self.site.zones.get_or_insert(&host.site.0) as u16),
             cell: CellId(host.cell),
-            kind: KindId(self.site.kinds.id(&host.sku.0) as u16),
+            kind: KindId(self.site.kinds.get_or_insert(&host.sku.0) as u16),
             units: host.units,
-            started_at: (host.up_since > 0.0).then(|| micros(host.up_since)),
+            started_at: (host.up_since > 0.0).then(|| micros_from_seconds(host.up_since)),
         })
     }
 
     fn request(&self, job: &wire::JobIn) -> Result<JobRequest, InstanceError> {
-        let Some(class) = self.site.classes.known(&job.service.0) else {
+        let Some(class) = self.site.classes.get(&job.service.0) else {
             return Err(InstanceError::UnknownService(job.service.0.to_string()));
         };
-        let tenant = self.site.tenants.known(&job.team.0);
+        let tenant = self.site.tenants.get(&job.team.0);
         let has_key = !job.key.0.is_empty();
         Ok(JobRequest {
             job: JobId(job.rid),
@@ -149,8 +149,8 @@
             slots: job.slots,
             memory: job.memory,
             work_hint: job.hint,
-            key: has_key.then(|| KeyId(fnv(job.key.0.as_bytes()))),
-            budget: micros(job.budget),
+            key: has_key.then(|| KeyId(fnv1a(job.key.0.as_bytes()))),
+            budget: micros_from_seconds(job.budget),
         })
     }
 
@@ -171,7 +171,7 @@
 }
 
 fn worker_id(address: &wire::Name) -> WorkerId {
-    WorkerId(fnv(address.0.as_bytes()))
+    WorkerId(fnv1a(address.0.as_bytes()))
 }
 
 /// Translates a notice about an attempt; `None` for codes that the dispatcher does not handle.
--- a/adapter/src/instances.rs
+++ b/adapter/src/instances.rs
@@ -3,7 +3,7 @@
 use crate::instance::{Instance, InstanceError};
 use crate::wire;
 use roselock::Micros;
-use roselock::settings::micros;
+use roselock::settings::micros_from_seconds;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -34,7 +34,7 @@
     /// `reply` holds no complete reply.
     pub fn process_line(&mut self, line: &str, reply: &mut String) -> Result<(), BatchError> {
         let batch: wire::Batch = serde_json::from_str(line)?;
-        let now = micros(batch.clock);
+        let now = micros_from_seconds(batch.clock);
         reply.clear();
         // Writing to a `String` cannot fail.
         let _ = write!(reply, r#"{{"batch":{},"schedulers":["#, batch.batch);
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -147,7 +147,7 @@
 
     /// Sets the progress of the startup. `first_list_after` is the time from the start to the first list, in microseconds,
     /// given only with that list.
-    pub fn start(&self, progress: &StartupProgress, first_list_after: Option<i64>) {
+    pub fn set_startup_progress(&self, progress: &StartupProgress, first_list_after: Option<i64>) {
         self.stage.store(progress.stage() as u8, Ordering::Relaxed);
         self.list_calls.store(progress.calls, Ordering::Relaxed);
         self.failed_list_calls.store(progress.failed_calls, Ordering::Relaxed);
--- a/crates/backlog/src/bounds.rs
+++ b/crates/backlog/src/bounds.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Maximum number of jobs, including released ones.
-    pub jobs: usize,
+    pub max_jobs: usize,
     /// Maximum memory of all jobs in bytes: their data plus [`JOB_OVERHEAD_BYTES`](crate::JOB_OVERHEAD_BYTES) per job.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 /// Why a job was rejected.
--- a/crates/backlog/src/function.rs
+++ b/crates/backlog/src/function.rs
@@ -57,7 +57,7 @@
     /// Released jobs that a worker is running.
     pub running: usize,
     /// Workers that have registered this function.
-    pub able: usize,
+    pub registered_workers: usize,
     /// Whether the function accepts no further jobs.
     pub closed: bool,
 }
@@ -68,7 +68,7 @@
         self.queued.iter().sum::<usize>() + self.scheduled + self.released
     }
     /// Whether a job waits for a worker, queued or released.
-    pub fn wants_workers(&self) -> bool {
+    pub fn has_waiting_jobs(&self) -> bool {
         self.released > self.running || self.queued.iter().any(|queued| *queued > 0)
     }
 }
@@ -180,7 +180,7 @@
             scheduled: self.scheduled.iter().sum(),
             released: self.released,
             running: self.running,
-            able: self.registered_workers,
+            registered_workers: self.registered_workers,
             closed: self.closed,
         }
     }
--- a/crates/backlog/src/submit.rs
+++ b/crates/backlog/src/submit.rs
@@ -16,9 +16,9 @@
             Err(Rejection::Closed)
         } else if queues.waiting_jobs(priority) >= queues.settings.max_queue[priority] {
             Err(Rejection::QueueFull)
-        } else if self.jobs.len() >= self.bounds.jobs {
+        } else if self.jobs.len() >= self.bounds.max_jobs {
             Err(Rejection::TooManyJobs)
-        } else if self.bytes + bytes + JOB_OVERHEAD_BYTES > self.bounds.bytes {
+        } else if self.bytes + bytes + JOB_OVERHEAD_BYTES > self.bounds.max_bytes {
             Err(Rejection::TooManyBytes)
         } else {
             Ok(())
--- a/crates/capacity/src/discovery_service.rs
+++ b/crates/capacity/src/discovery_service.rs
@@ -108,7 +108,7 @@
         }
         let ended_at = 2 * SIMULATION_LIMIT;
         let reconnect = |instance_index: u32, schedule: &mut PollSchedule| {
-            schedule.delay_after_end(
+            schedule.delay_after_watch_end(
                 ended_at,
                 self.poll_parameters(instance_index),
                 0.0,
@@ -153,7 +153,7 @@
                 }
                 CallEvent::Failed => {
                     calls.failed += 1;
-                    let delay = schedule.delay_after_end(
+                    let delay = schedule.delay_after_watch_end(
                         now,
                         self.poll_parameters(instance_index),
                         random.rand_float(),
--- a/crates/capacity/src/experiment/partition.rs
+++ b/crates/capacity/src/experiment/partition.rs
@@ -42,7 +42,7 @@
 
 /// The number of members that a member of the first region counts.
 fn members_counted_per_region(end: Micros) -> u32 {
-    let configured = Fleet { size: TARGET_DISPATCHERS, me: 0 };
+    let configured = Fleet { size: TARGET_DISPATCHERS, index: 0 };
     let mut count = MemberCount::new(&member_name(0), configured, LONGEST_PARTITION, 0);
     for member in 1..TARGET_DISPATCHERS {
         count.member_up(&member_name(member), SECOND);
--- a/crates/capacity/src/simulated_members.rs
+++ b/crates/capacity/src/simulated_members.rs
@@ -199,7 +199,7 @@
             },
             cluster: CLUSTER.into(),
             seeds: (0..SEED_MEMBERS.min(self.count)).map(|seed| member_address(seed as usize)).collect(),
-            configured: Fleet { size: self.count, me: index as u32 },
+            configured: Fleet { size: self.count, index: index as u32 },
             watchers: WATCHERS,
             stale_after: STALE_AFTER,
             longest_partition: LONGEST_PARTITION,
@@ -220,7 +220,7 @@
             ..Traffic::default()
         };
         for member in &self.members {
-            let sent = member.peers.figures().sent;
+            let sent = member.peers.statistics().sent;
             traffic.packets += sent.packets;
             traffic.bytes += sent.bytes;
             traffic.frame_bytes += member.frame_bytes;
@@ -414,7 +414,7 @@
                 let watching: Vec<usize> =
                     (0..self.members.len()).filter(|member| self.members[*member].is_watching).collect();
                 for member in watching {
-                    self.handle_event(member, Event::WatchAlive);
+                    self.handle_event(member, Event::WatchKeepAlive);
                 }
                 self.schedule(self.now + HEARTBEAT_INTERVAL, ScheduledEvent::Heartbeat);
             }
--- a/crates/dial-limiter/src/lib.rs
+++ b/crates/dial-limiter/src/lib.rs
@@ -26,7 +26,7 @@
 const MIN_DIALS_PER_S: f64 = 0.5;
 /// Idle timeout of a cached connection where connections are scarce, in microseconds. With a longer one, the dispatchers that
 /// dialled first would lock out all others for as long as they have occasional work.
-pub const SURPLUS_AFTER: Micros = SECOND;
+pub const SCARCE_IDLE_TIMEOUT: Micros = SECOND;
 
 /// Limits on the new connections to one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/discovery-client/src/lease.rs
+++ b/crates/discovery-client/src/lease.rs
@@ -109,7 +109,8 @@
             self.expires_at = self.expires_at.min(renewed);
             return;
         }
-        let evidence = if end.reason == WatchEndReason::Silent { TIMEOUT_EVIDENCE } else { REFUSAL_EVIDENCE };
+        let evidence =
+            if end.reason == WatchEndReason::TimedOut { TIMEOUT_EVIDENCE } else { REFUSAL_EVIDENCE };
         self.required_evidence = self.required_evidence.saturating_sub(evidence);
         if self.required_evidence > 0 {
             return;
--- a/crates/discovery-client/src/poll_schedule.rs
+++ b/crates/discovery-client/src/poll_schedule.rs
@@ -14,7 +14,7 @@
 
 const SECOND: Micros = 1_000_000;
 /// The conjugate of the golden ratio (φ − 1): the fractional parts of its multiples are evenly distributed over 0..1.
-pub const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
+pub const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 /// Factor of the estimate over the measured service time: a round is longer than the calls in it take, so that a queue at the
 /// service drains.
 const CALL_TIME_MARGIN: f64 = 1.25;
@@ -58,7 +58,7 @@
     /// This machine lacked a resource to open a connection, which is no evidence about the service.
     LocalFailure,
     /// Nothing was received in time on an established connection.
-    Silent,
+    TimedOut,
 }
 
 /// The end of a watch, or of the call that opens one.
@@ -85,7 +85,7 @@
 impl PollParameters {
     /// This dispatcher's position in a round, in 0..1. Positions are evenly distributed, however few dispatchers run.
     fn position(&self) -> f64 {
-        (f64::from(self.instance_index) * GOLDEN_RATIO).fract()
+        (f64::from(self.instance_index) * GOLDEN_RATIO_CONJUGATE).fract()
     }
 
     /// The length of a round with this service time per call, in microseconds, bounded by a multiple of the poll interval.
@@ -192,7 +192,7 @@
     ///
     /// A change counts as notified after [`NOTIFICATION_DEADLINE`] while the service can be reached. So only repeated slow
     /// failures, which indicate an overloaded service, are followed by a longer delay.
-    pub fn delay_after_end(
+    pub fn delay_after_watch_end(
         &mut self,
         now: Micros,
         parameters: PollParameters,
--- a/crates/gearman-conformance/src/runner.rs
+++ b/crates/gearman-conformance/src/runner.rs
@@ -208,7 +208,7 @@
 
     /// Expands the arguments and sends a packet.
     fn send(&mut self, name: &str, kind: &str, args: &[String]) -> StepResult {
-        let kind = Kind::named(kind).ok_or_else(|| Mismatch::new("a packet type", kind))?;
+        let kind = Kind::from_name(kind).ok_or_else(|| Mismatch::new("a packet type", kind))?;
         let args = args.iter().map(|arg| self.expand(arg)).collect::<Result<Vec<_>, _>>()?;
         let parts: Vec<&[u8]> = args.iter().map(Vec::as_slice).collect();
         self.write(name, &packet(Magic::Req, kind, &parts))
@@ -216,7 +216,7 @@
 
     /// Expects a packet of a type whose arguments match these patterns.
     fn expect_packet(&mut self, name: &str, kind: &str, patterns: &[String]) -> StepResult {
-        let kind = Kind::named(kind).ok_or_else(|| Mismatch::new("a packet type", kind))?;
+        let kind = Kind::from_name(kind).ok_or_else(|| Mismatch::new("a packet type", kind))?;
         let expected = format!("{} {patterns:?}", kind.label());
         let deadline = self.deadline();
         let (received, data) = match self.connection(name)?.read_packet(deadline) {
--- a/crates/gearman-load/src/relay.rs
+++ b/crates/gearman-load/src/relay.rs
@@ -111,7 +111,7 @@
 
 /// Relays the result of a job to its client.
 fn complete(state: &Mutex<State>, handle: &[u8], data: &[u8]) {
-    let id = roselock_gearman::packet::number(handle).unwrap_or(0);
+    let id = roselock_gearman::packet::parse_number(handle).unwrap_or(0);
     let client = state.lock().expect("lock is not poisoned").clients.remove(&id);
     if let Some(client) = client {
         send(&client, Kind::WorkComplete, &[handle, data]);
--- a/crates/gearman/src/decode.rs
+++ b/crates/gearman/src/decode.rs
@@ -4,11 +4,11 @@
 //! to the vector that the packet owns. That vector grows with the bytes received, and is not allocated from the size
 //! in the header, so that a connection that announces a large packet and sends little uses little memory.
 
-use crate::packet::{HEAD, Kind, Magic};
+use crate::packet::{HEADER_BYTES, Kind, Magic};
 use std::fmt;
 
 /// Number of bytes to read at a time. Arguments of up to this size are held in the receive buffer.
-pub const CHUNK: usize = 8 * 1024;
+pub const READ_CHUNK_BYTES: usize = 8 * 1024;
 
 /// Limits of a decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,8 +32,8 @@
     Packet(Kind, Vec<u8>),
     /// A packet of an unassigned type, whose arguments have been discarded.
     Unknown(u32),
-    /// The header of a packet with this many bytes of arguments, more than [`CHUNK`]. [`Decoder::skip`] discards the
-    /// packet; otherwise it follows once it is complete.
+    /// The header of a packet with this many bytes of arguments, more than [`READ_CHUNK_BYTES`]. [`Decoder::skip`] discards
+    /// the packet; otherwise it follows once it is complete.
     Large(Kind, usize),
     /// The end of a discarded packet with this many bytes of arguments.
     Skipped(Kind, usize),
@@ -118,7 +118,7 @@
             bytes = self.consume_arguments(bytes);
             self.position = 0;
             self.buffer.clear();
-        } else if self.position >= CHUNK {
+        } else if self.position >= READ_CHUNK_BYTES {
             self.buffer.drain(..self.position);
             self.position = 0;
         }
@@ -153,7 +153,7 @@
     }
 
     /// Whether a packet or a line has been received in part.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial_frame(&self) -> bool {
         self.position < self.buffer.len() || !matches!(self.state, State::Start)
     }
 
@@ -181,8 +181,8 @@
         if self.position == self.buffer.len() {
             self.buffer.clear();
             self.position = 0;
-            if self.buffer.capacity() > 4 * CHUNK {
-                self.buffer.shrink_to(CHUNK);
+            if self.buffer.capacity() > 4 * READ_CHUNK_BYTES {
+                self.buffer.shrink_to(READ_CHUNK_BYTES);
             }
         }
         frame
@@ -215,25 +215,25 @@
         if available[..magic_size] != self.magic.bytes()[..magic_size] {
             return Err(DecodeError::InvalidMagic);
         }
-        if available.len() < HEAD {
+        if available.len() < HEADER_BYTES {
             return Ok(None);
         }
         let Header { code, kind, size } = Header::read(available);
         let Some(kind) = kind.filter(|_| size <= self.limits.packet) else {
-            self.position += HEAD;
+            self.position += HEADER_BYTES;
             self.state = State::Skipping { kind, code, size, remaining: size };
             return Ok(self.continue_packet());
         };
-        if size > CHUNK {
-            self.position += HEAD;
+        if size > READ_CHUNK_BYTES {
+            self.position += HEADER_BYTES;
             self.state = State::Large { kind, size, data: Vec::new() };
             return Ok(Some(Frame::Large(kind, size)));
         }
-        if available.len() < HEAD + size {
+        if available.len() < HEADER_BYTES + size {
             return Ok(None);
         }
-        let data = available[HEAD..HEAD + size].to_vec();
-        self.position += HEAD + size;
+        let data = available[HEADER_BYTES..HEADER_BYTES + size].to_vec();
+        self.position += HEADER_BYTES + size;
         Ok(Some(Frame::Packet(kind, data)))
     }
 
--- a/crates/gearman/src/packet.rs
+++ b/crates/gearman/src/packet.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// Size of a packet's header in bytes: the magic word, the type and the size of the arguments.
-pub const HEAD: usize = 12;
+pub const HEADER_BYTES: usize = 12;
 
 /// The direction of a packet, as its magic word gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -166,7 +166,7 @@
 
 impl Kind {
     /// The type with this name in the specification.
-    pub fn named(label: &str) -> Option<Kind> {
+    pub fn from_name(label: &str) -> Option<Kind> {
         Kind::ALL.iter().copied().find(|kind| kind.label() == label)
     }
     /// Whether a server may receive packets of this type.
@@ -200,8 +200,8 @@
 }
 
 /// Encodes the header of a packet with `size` bytes of arguments.
-pub fn encode_header(magic: Magic, kind: Kind, size: usize) -> [u8; HEAD] {
-    let mut header = [0; HEAD];
+pub fn encode_header(magic: Magic, kind: Kind, size: usize) -> [u8; HEADER_BYTES] {
+    let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(magic.bytes());
     header[4..8].copy_from_slice(&(kind as u32).to_be_bytes());
     header[8..].copy_from_slice(&(size as u32).to_be_bytes());
@@ -211,7 +211,7 @@
 /// Appends an encoded packet.
 pub fn encode(magic: Magic, kind: Kind, args: &[&[u8]], out: &mut Vec<u8>) {
     let size = args.iter().map(|arg| arg.len()).sum::<usize>() + args.len().saturating_sub(1);
-    out.reserve(HEAD + size);
+    out.reserve(HEADER_BYTES + size);
     out.extend_from_slice(&encode_header(magic, kind, size));
     for (index, arg) in args.iter().enumerate() {
         if index > 0 {
@@ -229,6 +229,6 @@
 }
 
 /// Parses an argument that is an integer in decimal digits.
-pub fn number(arg: &[u8]) -> Option<u64> {
+pub fn parse_number(arg: &[u8]) -> Option<u64> {
     std::str::from_utf8(arg).ok()?.trim().parse().ok()
 }
--- a/crates/gearman/src/server.rs
+++ b/crates/gearman/src/server.rs
@@ -129,7 +129,7 @@
     }
 
     /// Whether it has a job: a reserved one, a running one or an abandoned one.
-    pub fn is_engaged(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         self.reserved.is_some() || self.running.is_some()
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// The functions that it has registered.
-    pub fn able(&self) -> impl Iterator<Item = F> + '_ {
+    pub fn registered_functions(&self) -> impl Iterator<Item = F> + '_ {
         self.functions
             .iter()
             .filter(|(_, registration)| registration.is_active)
@@ -149,11 +149,11 @@
     /// Whether a job of this function can be reserved for it.
     pub fn is_free_for(&self, function: F) -> bool {
         let is_registered = self.functions.get(&function).is_some_and(|registration| registration.is_active);
-        is_registered && !self.is_disconnected && !self.is_unresponsive && !self.is_engaged()
+        is_registered && !self.is_disconnected && !self.is_unresponsive && !self.is_busy()
     }
 
     /// The function of its reserved or running job; none if the job was abandoned.
-    pub fn engaged_in(&self) -> Option<F> {
+    pub fn busy_function(&self) -> Option<F> {
         self.reserved.as_ref().or(self.running_assignment()).map(|assignment| assignment.function)
     }
 
@@ -223,7 +223,7 @@
     pub fn wait_for_job(&mut self, kind: Kind, answer_by: Micros) -> bool {
         self.is_asleep = false;
         self.is_unresponsive = false;
-        if self.is_engaged() || self.pending_grab.is_some() {
+        if self.is_busy() || self.pending_grab.is_some() {
             return false;
         }
         self.pending_grab = Some(PendingGrab { kind, answer_by });
--- a/crates/gearman/src/submit.rs
+++ b/crates/gearman/src/submit.rs
@@ -1,6 +1,6 @@
 //! The ten packet types that submit a job, as one struct.
 
-use crate::packet::{Kind, Magic, Packet, encode, number};
+use crate::packet::{Kind, Magic, Packet, encode, parse_number};
 use std::fmt;
 
 /// A job's priority within its function.
@@ -65,23 +65,23 @@
 
 /// The reason for which a packet is not a valid submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Invalid {
+pub enum InvalidSubmission {
     /// The packet type does not submit a job.
     Kind,
     /// The scheduled time is not a number or out of range.
     Time,
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidSubmission {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Invalid::Kind => "submits nothing",
-            Invalid::Time => "the time is no time",
+            InvalidSubmission::Kind => "submits nothing",
+            InvalidSubmission::Time => "the time is no time",
         })
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidSubmission {}
 
 impl<'a> Submission<'a> {
     /// Creates the submission of a foreground job of normal priority.
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// If the packet type does not submit a job, or its scheduled time is invalid.
-    pub fn read(packet: &Packet<'a>) -> Result<Submission<'a>, Invalid> {
+    pub fn read(packet: &Packet<'a>) -> Result<Submission<'a>, InvalidSubmission> {
         use Packet as P;
         Ok(match *packet {
             P::SubmitJob { function, unique, data } => Submission::new(function, unique, data),
@@ -125,7 +125,7 @@
                 Submission { reducer: Some(reducer), ..Submission::new_background(function, unique, data) }
             }
             P::SubmitJobEpoch { function, unique, epoch, data } => {
-                let when = When::Epoch(number(epoch).ok_or(Invalid::Time)?);
+                let when = When::Epoch(parse_number(epoch).ok_or(InvalidSubmission::Time)?);
                 Submission { when, ..Submission::new_background(function, unique, data) }
             }
             P::SubmitJobSched { function, unique, minute, hour, day, month, weekday, data } => {
@@ -138,7 +138,7 @@
                 };
                 Submission { when, ..Submission::new_background(function, unique, data) }
             }
-            _ => return Err(Invalid::Kind),
+            _ => return Err(InvalidSubmission::Kind),
         })
     }
 
@@ -194,13 +194,14 @@
 }
 
 /// Parses a field of a scheduled time. Empty, `*` and `-1` match any value.
-fn parse_calendar_field(arg: &[u8], min: u8, max: u8) -> Result<Option<u8>, Invalid> {
+fn parse_calendar_field(arg: &[u8], min: u8, max: u8) -> Result<Option<u8>, InvalidSubmission> {
     if matches!(arg, b"" | b"*" | b"-1") {
         return Ok(None);
     }
-    let value = number(arg).and_then(|value| u8::try_from(value).ok()).ok_or(Invalid::Time)?;
+    let value =
+        parse_number(arg).and_then(|value| u8::try_from(value).ok()).ok_or(InvalidSubmission::Time)?;
     if !(min..=max).contains(&value) {
-        return Err(Invalid::Time);
+        return Err(InvalidSubmission::Time);
     }
     Ok(Some(value))
 }
--- a/crates/peers/examples/measure.rs
+++ b/crates/peers/examples/measure.rs
@@ -69,7 +69,11 @@
 
 /// Returns the packets and bytes that each member has sent.
 fn sent(simulation: &Simulation) -> Vec<DatagramCount> {
-    simulation.nodes.iter().filter_map(|node| node.peers.as_ref().map(|peers| peers.figures().sent)).collect()
+    simulation
+        .nodes
+        .iter()
+        .filter_map(|node| node.peers.as_ref().map(|peers| peers.statistics().sent))
+        .collect()
 }
 
 /// Measures the traffic and processor time of 20 idle seconds.
--- a/crates/peers/src/member_count.rs
+++ b/crates/peers/src/member_count.rs
@@ -18,7 +18,7 @@
     /// The number of dispatchers including this one; at least 1.
     pub size: u32,
     /// The index of this one among them, from 0.
-    pub me: u32,
+    pub index: u32,
 }
 
 /// The members that are counted as part of the fleet.
@@ -91,7 +91,7 @@
             return self.configured;
         }
         // Before the count has settled, a partition that exists since the start might hide configured members.
-        let me = self.counted.keys().position(|name| *name == self.name).unwrap_or(0) as u32;
-        Fleet { size, me }
+        let index = self.counted.keys().position(|name| *name == self.name).unwrap_or(0) as u32;
+        Fleet { size, index }
     }
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -129,7 +129,7 @@
                 self.lists.watch_opened(now);
                 self.record_own_watch(now);
             }
-            Event::WatchAlive => {
+            Event::WatchKeepAlive => {
                 self.lists.receive_keep_alive(now);
                 self.record_own_watch(now);
             }
--- a/crates/peers/src/peers/api.rs
+++ b/crates/peers/src/peers/api.rs
@@ -40,7 +40,7 @@
     /// This member's watch at the discovery service has been opened, and continues from the current version.
     WatchOpened,
     /// A keep-alive message has arrived on this member's watch.
-    WatchAlive,
+    WatchKeepAlive,
     /// This member's request to the discovery service has failed, or its watch has ended.
     WatchClosed,
     /// A timer is due.
--- a/crates/peers/src/peers/status.rs
+++ b/crates/peers/src/peers/status.rs
@@ -20,7 +20,7 @@
     }
 
     /// Returns the statistics.
-    pub fn figures(&self) -> &Statistics {
+    pub fn statistics(&self) -> &Statistics {
         &self.statistics
     }
 
--- a/crates/rig/src/clairvoyant.rs
+++ b/crates/rig/src/clairvoyant.rs
@@ -11,7 +11,7 @@
 /// The number of jobs that a worker serves up to an age in microseconds, in the fluid model: its capacity grows linearly
 /// while it warms up.
 #[must_use]
-pub fn served_by(profile: &WorkerProfile, age: Micros) -> f64 {
+pub fn jobs_served(profile: &WorkerProfile, age: Micros) -> f64 {
     let age_s = age.max(0) as f64 / 1e6;
     let warm_up_s = profile.warm_up_s.max(0.0);
     let warm_rate = profile.slots as f64 / profile.job_s;
@@ -57,7 +57,7 @@
     let warm_start = -((profile.warm_up_s * 1e6) as Micros) - SECOND;
     let served = |started_at: &Option<Micros>| {
         let started_at = started_at.unwrap_or(warm_start);
-        served_by(profile, at - started_at) - served_by(profile, -started_at.min(0))
+        jobs_served(profile, at - started_at) - jobs_served(profile, -started_at.min(0))
     };
     started_at.iter().map(served).sum()
 }
--- a/crates/rig/src/cli/run.rs
+++ b/crates/rig/src/cli/run.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use roselock_rig::process::kill_all_on_signals;
 use roselock_rig::report::Report;
-use roselock_rig::run::{RunOptions, default_program, play};
+use roselock_rig::run::{RunOptions, default_program, run_scenario};
 use roselock_rig::scenario::{self, Scenario};
 use roselock_rig::{files, run_chart};
 use std::io::IsTerminal;
@@ -133,10 +133,10 @@
     let options = RunOptions {
         program: build.program.clone(),
         seed,
-        progress: std::io::stderr().is_terminal(),
+        show_progress: std::io::stderr().is_terminal(),
         environment: Vec::new(),
     };
-    let report = play(scenario.clone(), options).map_err(|source| CliError::Run {
+    let report = run_scenario(scenario.clone(), options).map_err(|source| CliError::Run {
         name: scenario.name.clone(),
         seed,
         source,
@@ -153,7 +153,7 @@
     let name = scenario.name.replace(AGAINST_SUFFIX, "-against");
     let path = folder.join(format!("{name}-{}.svg", report.seed));
     let chart = run_chart::svg(scenario, report)?;
-    files::create_folder(folder)?;
+    files::create_directory(folder)?;
     files::write(&path, &chart)?;
     Ok(())
 }
--- a/crates/rig/src/dispatcher_process.rs
+++ b/crates/rig/src/dispatcher_process.rs
@@ -20,7 +20,7 @@
 }
 
 /// The limits of each dispatcher that the rig starts.
-pub const LIMITS: Limits = Limits { memory_mb: 64, sockets: 512 };
+pub const DISPATCHER_LIMITS: Limits = Limits { memory_mb: 64, sockets: 512 };
 
 /// The addresses and the directory of a dispatcher.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     /// The address of the list service after it has moved.
     pub moved_list_service: SocketAddr,
     /// Its own directory.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
 }
 
 impl DispatcherSpec {
@@ -45,7 +45,7 @@
     }
 
     fn config_path(&self) -> PathBuf {
-        self.folder.join("config.json")
+        self.directory.join("config.json")
     }
 }
 
@@ -58,7 +58,7 @@
     /// The seed of its random numbers.
     pub seed: u64,
     /// The endpoint list that it starts with, as JSON.
-    pub known_list: &'a str,
+    pub cached_list: &'a str,
 }
 
 /// A running dispatcher.
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// Its files cannot be written, `known_list` is not JSON, or the process cannot be started.
+    /// Its files cannot be written, `cached_list` is not JSON, or the process cannot be started.
     pub fn start(
         command: Command,
         spec: &DispatcherSpec,
@@ -131,13 +131,13 @@
 }
 
 fn spawn(mut command: Command, spec: &DispatcherSpec, settings: &StartSettings<'_>) -> io::Result<Process> {
-    let temp_dir = spec.folder.join("tmp");
+    let temp_dir = spec.directory.join("tmp");
     std::fs::create_dir_all(&temp_dir)?;
     let path = spec.config_path();
     write_config(&path, spec, settings)?;
     command.arg("serve").arg("--config").arg(&path).env("TMPDIR", &temp_dir);
     if let Some(operator_settings) = &settings.scenario.operator_settings {
-        let path = spec.folder.join("operator.toml");
+        let path = spec.directory.join("operator.toml");
         std::fs::write(&path, operator_settings)?;
         command.arg("--operator").arg(path);
     }
@@ -145,7 +145,7 @@
 }
 
 fn write_config(path: &Path, spec: &DispatcherSpec, settings: &StartSettings<'_>) -> io::Result<()> {
-    let known: serde_json::Value = serde_json::from_str(settings.known_list)?;
+    let known: serde_json::Value = serde_json::from_str(settings.cached_list)?;
     let limits = settings.limits;
     let seed = settings.seed;
     let config = json!({
--- a/crates/rig/src/files.rs
+++ b/crates/rig/src/files.rs
@@ -45,6 +45,6 @@
 /// # Errors
 ///
 /// It cannot be created.
-pub fn create_folder(path: &Path) -> Result<(), FileError> {
+pub fn create_directory(path: &Path) -> Result<(), FileError> {
     std::fs::create_dir_all(path).map_err(|source| FileError { path: path.to_owned(), source })
 }
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Message {
     /// Method and path of a request; for a response, its status in both elements.
-    pub start: [String; 2],
+    pub start_line: [String; 2],
     headers: Vec<Header>,
     /// The body.
     pub body: Vec<u8>,
@@ -47,7 +47,7 @@
     /// A response's status; 0 for a request.
     #[must_use]
     pub fn status(&self) -> u16 {
-        self.start[0].parse().unwrap_or(0)
+        self.start_line[0].parse().unwrap_or(0)
     }
 
     /// Whether the connection stays open after this response.
@@ -74,7 +74,7 @@
 
     /// Counts the connection and its traffic from now on.
     #[must_use]
-    pub fn counted(mut self, traffic: &Arc<Traffic>) -> Connection {
+    pub fn with_traffic_counters(mut self, traffic: &Arc<Traffic>) -> Connection {
         traffic.count_connection();
         self.traffic = Some(traffic.clone());
         self
@@ -152,7 +152,7 @@
         let Some(head) = parse_head(&self.received).map_err(|_| io::ErrorKind::InvalidData)? else {
             return Ok(None);
         };
-        let mut message = Message { start: head.start, headers: head.headers, body: Vec::new() };
+        let mut message = Message { start_line: head.start, headers: head.headers, body: Vec::new() };
         let length: usize =
             message.header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
         let end = head.bytes + length;
--- a/crates/rig/src/ledger.rs
+++ b/crates/rig/src/ledger.rs
@@ -71,7 +71,7 @@
         worker: usize,
     },
     /// A dispatcher sent a job to a worker.
-    JobSentBy {
+    JobSent {
         /// The dispatcher.
         dispatcher: usize,
         /// The worker.
--- a/crates/rig/src/ledger/rules.rs
+++ b/crates/rig/src/ledger/rules.rs
@@ -114,7 +114,7 @@
                 let pair = Pair { dispatcher: *dispatcher, worker: *worker };
                 self.drain_known_since.entry(pair).or_insert(at);
             }
-            Observation::JobSentBy { dispatcher, worker } => {
+            Observation::JobSent { dispatcher, worker } => {
                 self.check_drain(at, Pair { dispatcher: *dispatcher, worker: *worker });
             }
             _ => {}
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -59,7 +59,9 @@
 
 /// A text is not a participant group.
 #[derive(Debug, Error)]
-#[error("{text:?} is no group: list, dispatchers, workers, or a part such as workers[0..3]")]
+#[error(
+    "{text:?} is not a participant group: expected list, dispatchers, workers, or a part such as workers[0..3]"
+)]
 pub struct GroupError {
     text: String,
 }
--- a/crates/rig/src/list.rs
+++ b/crates/rig/src/list.rs
@@ -122,7 +122,7 @@
 
     /// The complete list as JSON, and its entries.
     #[must_use]
-    pub fn whole(&self) -> (String, Vec<ListEntry>) {
+    pub fn full_list(&self) -> (String, Vec<ListEntry>) {
         let state = self.state();
         let entries = state.entries.clone();
         let revision = state.revision;
@@ -131,7 +131,7 @@
     }
 
     /// Changes entries, by worker number, in one revision, and notifies all watches.
-    pub fn change(&self, change: impl Fn(usize, &mut ListEntry), workers: Range<usize>) {
+    pub fn update_entries(&self, change: impl Fn(usize, &mut ListEntry), workers: Range<usize>) {
         let mut state = self.state();
         state.revision += 1;
         let revision = state.revision;
@@ -149,7 +149,7 @@
     }
 
     /// Opens a watch for a dispatcher that has the list as of a revision.
-    pub(crate) fn watch(&self, after: u64) -> OpenedWatch {
+    pub(crate) fn open_watch(&self, after: u64) -> OpenedWatch {
         let (sender, changes) = channel();
         let mut state = self.state();
         state.watches.push(sender);
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -149,7 +149,7 @@
     /// # Errors
     ///
     /// No such line is logged within [`EVENT_TIMEOUT`], or the process ends before.
-    pub fn logs(&mut self, text: &str) -> Result<String, ProcessError> {
+    pub fn wait_for_log(&mut self, text: &str) -> Result<String, ProcessError> {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
@@ -179,11 +179,11 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Process::logs`].
-    pub fn has_logged(&mut self, text: &str) -> Result<String, ProcessError> {
+    /// Those of [`Process::wait_for_log`].
+    pub fn find_or_wait_for_log(&mut self, text: &str) -> Result<String, ProcessError> {
         match self.logged.iter().find(|line| line.contains(text)) {
             Some(line) => Ok(line.clone()),
-            None => self.logs(text),
+            None => self.wait_for_log(text),
         }
     }
 
@@ -227,7 +227,7 @@
     /// # Errors
     ///
     /// The process does not end within [`EVENT_TIMEOUT`], or waiting for it fails.
-    pub fn end(&mut self) -> Result<ExitStatus, ProcessError> {
+    pub fn wait_for_exit(&mut self) -> Result<ExitStatus, ProcessError> {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         while !self.has_ended() {
             if Instant::now() > deadline {
--- a/crates/rig/src/scale/trial_environment.rs
+++ b/crates/rig/src/scale/trial_environment.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher_process::{DispatcherProcess, DispatcherSpec, Limits, StartSettings};
 use crate::list::EMPTY_LIST;
-use crate::net::{NetClaim, address, claim_net};
+use crate::net::{SubnetClaim, claim_subnet, participant_address};
 use crate::process::Signal;
 use crate::scale::admin::{Metrics, fetch_metrics};
 use crate::scale::load::{LoadGenerator, RequestCount};
@@ -66,7 +66,7 @@
     plan: Plan,
     max_resident_kib: u64,
     _folder: tempfile::TempDir,
-    _net_claims: [NetClaim; 2],
+    _subnet_claims: [SubnetClaim; 2],
     _reserved_ports: [TcpListener; 2],
 }
 
@@ -86,15 +86,15 @@
     fn set_up(plan: &Plan, scenario: Scenario) -> io::Result<TrialEnvironment> {
         let clock = Clock::start();
         let folder = tempfile::tempdir()?;
-        let claim = claim_net()?;
-        let workers_claim = claim_net()?;
+        let claim = claim_subnet()?;
+        let workers_claim = claim_subnet()?;
         // Reserves the ports, so that no stand-in gets them. The dispatchers use them at other addresses.
         let reserved = TcpListener::bind("127.0.0.1:0")?;
         let reserved_admin = TcpListener::bind("127.0.0.1:0")?;
         let port = reserved.local_addr()?.port();
         let admin_port = reserved_admin.local_addr()?.port();
         let listen: Vec<SocketAddr> = (0..plan.dispatchers)
-            .map(|number| SocketAddr::from((address(claim.net, number), port)))
+            .map(|number| SocketAddr::from((participant_address(claim.net, number), port)))
             .collect();
         let workers =
             SimulatedWorkers::start(scenario.worker_count, workers_claim.net, listen.clone(), clock)?;
@@ -105,7 +105,7 @@
             admin: SocketAddr::from((listen.ip(), admin_port)),
             list_service: registry.address(number),
             moved_list_service: registry.moved_address(number),
-            folder: folder.path().join(format!("n{number}")),
+            directory: folder.path().join(format!("n{number}")),
         };
         let specs = listen.iter().enumerate().map(spec).collect();
         Ok(TrialEnvironment {
@@ -119,7 +119,7 @@
             plan: plan.clone(),
             max_resident_kib: total_memory_kib()? / 2,
             _folder: folder,
-            _net_claims: [claim, workers_claim],
+            _subnet_claims: [claim, workers_claim],
             _reserved_ports: [reserved, reserved_admin],
         })
     }
@@ -136,7 +136,7 @@
                 scenario: &self.scenario,
                 limits: LIMITS,
                 seed: self.plan.seed ^ ((spec.number as u64 + 1) << 20),
-                known_list: EMPTY_LIST,
+                cached_list: EMPTY_LIST,
             };
             let command = Command::new(&self.plan.program);
             self.dispatchers.push(DispatcherProcess::start(command, spec, &settings)?);
--- a/dispatcher/src/core/clock.rs
+++ b/dispatcher/src/core/clock.rs
@@ -17,6 +17,6 @@
 }
 
 /// The time until a deadline; zero if it has passed.
-pub fn left(deadline: Micros) -> Duration {
+pub fn time_until(deadline: Micros) -> Duration {
     Duration::from_micros((deadline - now()).max(0) as u64)
 }
--- a/dispatcher/src/core/downstream.rs
+++ b/dispatcher/src/core/downstream.rs
@@ -44,7 +44,7 @@
 
 /// A new stream.
 pub struct NewStream {
-    /// Its number, from [`Inbox::stream_id`](super::Inbox::stream_id).
+    /// Its number, from [`Inbox::next_stream_id`](super::Inbox::next_stream_id).
     pub id: StreamId,
     /// The fleet whose hosts may run it.
     pub fleet: FleetId,
@@ -141,9 +141,9 @@
     /// The address of the host to which it was sent last, if any.
     pub upstream: Option<SocketAddr>,
     /// Size of the request body in bytes.
-    pub received: usize,
+    pub bytes_received: usize,
     /// Size of the result in bytes.
-    pub sent: usize,
+    pub bytes_sent: usize,
     /// How it finished.
     pub outcome: StreamOutcome,
 }
@@ -151,7 +151,7 @@
 /// Records finished streams. It never blocks.
 pub trait FlowSink: Send {
     /// Records a finished stream; if that is not possible, counts it as dropped.
-    fn finished(&self, flow: Flow);
+    fn record_flow(&self, flow: Flow);
 }
 
 /// A queue of jobs outside the event loop, which polls it. Only the event loop calls its methods; they never block.
--- a/dispatcher/src/core/event_loop.rs
+++ b/dispatcher/src/core/event_loop.rs
@@ -103,9 +103,9 @@
     }
 
     /// Applies the endpoint list that was cached before the process started.
-    pub fn seed_known_hosts(&mut self, fleet: FleetId, hosts: Vec<ListedHost>) {
+    pub fn apply_cached_list(&mut self, fleet: FleetId, hosts: Vec<ListedHost>) {
         self.list_status = ListStatus::new(clock::now(), !hosts.is_empty());
-        self.admin.metrics.start(&self.list_status.startup, None);
+        self.admin.metrics.set_startup_progress(&self.list_status.startup, None);
         self.apply_list(fleet, ListMode::Cached, hosts);
     }
 
@@ -157,7 +157,7 @@
 
     /// Waits for inputs and handles a batch of them. Returns false if the queue is closed.
     fn receive_inputs(&mut self) -> bool {
-        match self.inputs.recv_timeout(clock::left(self.next_wakeup_at())) {
+        match self.inputs.recv_timeout(clock::time_until(self.next_wakeup_at())) {
             Ok(input) => self.handle(input),
             Err(RecvTimeoutError::Timeout) => return true,
             Err(RecvTimeoutError::Disconnected) => return false,
--- a/dispatcher/src/core/event_loop/dial_queue.rs
+++ b/dispatcher/src/core/event_loop/dial_queue.rs
@@ -9,7 +9,7 @@
 use super::upstream_requests::PendingRequest;
 use crate::core::pool::ConnectionUse;
 use crate::core::{FleetId, RequestKind, UpstreamId, UpstreamRequest, clock};
-use roselock::settings::fnv;
+use roselock::settings::fnv1a;
 use roselock::{LoadReport, Micros, Outcome};
 use roselock_dial_limiter::{DialLimits, rejected_recently};
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
     }
     /// A random number in [0, 1).
     fn next_jitter(&mut self, now: Micros) -> f64 {
-        self.jitter_state = fnv(&(self.jitter_state ^ now as u64).to_le_bytes());
+        self.jitter_state = fnv1a(&(self.jitter_state ^ now as u64).to_le_bytes());
         (self.jitter_state >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/dispatcher/src/core/event_loop/endpoint_list.rs
+++ b/dispatcher/src/core/event_loop/endpoint_list.rs
@@ -95,19 +95,19 @@
             let failed_calls = startup.failed_calls;
             tracing::info!(after_s, calls, failed_calls, "endpoint list confirmed");
         }
-        self.admin.metrics.start(startup, confirmed_after);
+        self.admin.metrics.set_startup_progress(startup, confirmed_after);
     }
 
     /// Records that the endpoint list is being polled, or a watch on it opened.
     pub(super) fn record_watch_start(&mut self) {
         self.list_status.startup.record_call();
-        self.admin.metrics.start(&self.list_status.startup, None);
+        self.admin.metrics.set_startup_progress(&self.list_status.startup, None);
     }
 
     /// Records that a watch on the endpoint list has ended, or could not be opened.
     pub(super) fn record_watch_end(&mut self) {
         self.list_status.startup.record_watch_end();
-        self.admin.metrics.start(&self.list_status.startup, None);
+        self.admin.metrics.set_startup_progress(&self.list_status.startup, None);
     }
 }
 
--- a/dispatcher/src/core/event_loop/idle_connections.rs
+++ b/dispatcher/src/core/event_loop/idle_connections.rs
@@ -5,7 +5,7 @@
 use crate::core::FleetId;
 use crate::core::pool::{ConnectionUse, IdleConnection};
 use roselock::{Idempotency, Micros, Settings};
-use roselock_dial_limiter::SURPLUS_AFTER;
+use roselock_dial_limiter::SCARCE_IDLE_TIMEOUT;
 
 /// How often idle connections are expired, in microseconds.
 const EXPIRY_INTERVAL: Micros = 500_000;
@@ -42,7 +42,7 @@
             let timeout_cutoff = now - configured_idle_timeout(&fleet.settings);
             // If new connections are limited, an unused one prevents another dispatcher from connecting.
             let cutoff = match fleet.dial_limits {
-                Some(_) => timeout_cutoff.max(now - SURPLUS_AFTER),
+                Some(_) => timeout_cutoff.max(now - SCARCE_IDLE_TIMEOUT),
                 None => timeout_cutoff,
             };
             let oldest_repeatable = fleet.idle_timeout.oldest_usable(now, ConnectionUse::Repeatable);
--- a/dispatcher/src/core/event_loop/recent_job_ids.rs
+++ b/dispatcher/src/core/event_loop/recent_job_ids.rs
@@ -1,7 +1,7 @@
 //! The ids of recently finished jobs.
 
 use roselock::Micros;
-use roselock::settings::fnv;
+use roselock::settings::fnv1a;
 use std::collections::{HashSet, VecDeque};
 
 /// How long an id is remembered, in microseconds.
@@ -25,10 +25,10 @@
 impl RecentJobIds {
     pub(super) fn contains(&mut self, id: &str, now: Micros) -> bool {
         self.expire(now);
-        self.hashes.contains(&fnv(id.as_bytes()))
+        self.hashes.contains(&fnv1a(id.as_bytes()))
     }
     pub(super) fn insert(&mut self, id: &str, now: Micros) {
-        let hash = fnv(id.as_bytes());
+        let hash = fnv1a(id.as_bytes());
         if self.hashes.insert(hash) {
             self.by_age.push_back(RecentId { finished_at: now, hash });
         }
--- a/dispatcher/src/core/event_loop/streams.rs
+++ b/dispatcher/src/core/event_loop/streams.rs
@@ -114,15 +114,15 @@
             "stream ended"
         );
         let Some(flows) = &self.flows else { return };
-        flows.finished(Flow {
+        flows.record_flow(Flow {
             stream: id,
             class: stream.class,
             start: stream.arrived_at,
             end: clock::now(),
             downstream: stream.peer,
             upstream: stream.last_upstream,
-            received: stream.payload.body.len(),
-            sent: bytes_sent,
+            bytes_received: stream.payload.body.len(),
+            bytes_sent,
             outcome,
         });
     }
--- a/dispatcher/src/core/inbox.rs
+++ b/dispatcher/src/core/inbox.rs
@@ -81,7 +81,7 @@
     }
     /// Records the longest client timeout of any class in settings that were read. The platform may compute the time of
     /// the kill from any settings that it has provided, so the shortest of the recorded timeouts counts.
-    pub fn note_client_timeout(&self, longest: Micros) {
+    pub fn record_client_timeout(&self, longest: Micros) {
         let shorter = |known: Micros| (known == 0 || longest < known).then_some(longest);
         let _ = self.shared.min_client_timeout.fetch_update(Ordering::SeqCst, Ordering::SeqCst, shorter);
     }
@@ -95,7 +95,7 @@
     }
 
     /// Allocates the number of a new stream.
-    pub fn stream_id(&self) -> StreamId {
+    pub fn next_stream_id(&self) -> StreamId {
         self.shared.stream_counter.fetch_add(1, Ordering::Relaxed)
     }
     /// Posts a stream. Returns false, without posting it, if no further streams are accepted.
@@ -128,11 +128,11 @@
     }
 
     /// Records an answer that is to be written.
-    pub fn response_pending(&self) {
+    pub fn record_pending_response(&self) {
         self.shared.pending_responses.fetch_add(1, Ordering::SeqCst);
     }
     /// Records that an answer has been written, or is dropped because its client has disconnected.
-    pub fn response_written(&self) {
+    pub fn record_written_response(&self) {
         self.shared.pending_responses.fetch_sub(1, Ordering::SeqCst);
     }
     /// The number of answers that have not been written yet.
--- a/dispatcher/src/core/suspensions.rs
+++ b/dispatcher/src/core/suspensions.rs
@@ -6,7 +6,7 @@
 
 use parking_lot::{Condvar, Mutex};
 use roselock::WorkerId;
-use roselock::settings::fnv;
+use roselock::settings::fnv1a;
 use std::collections::{BTreeSet, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -158,7 +158,7 @@
         self.saved.fetch_max(sequence, Ordering::SeqCst);
     }
     /// Records why the file could not be written.
-    pub fn note_unsaved(&self, reason: String) {
+    pub fn record_save_failure(&self, reason: String) {
         *self.save_failure.lock() = Some(reason);
     }
     /// Checks that the file holds all changes.
@@ -182,7 +182,7 @@
         if generation == seen {
             return None;
         }
-        let suspended = self.workers.lock().ids.iter().map(|id| WorkerId(fnv(id.as_bytes()))).collect();
+        let suspended = self.workers.lock().ids.iter().map(|id| WorkerId(fnv1a(id.as_bytes()))).collect();
         Some(SuspensionChange { generation, suspended })
     }
     /// Records that the event loop has passed the changes up to this generation on to the decision logic.
--- a/dispatcher/src/lifecycle/listen.rs
+++ b/dispatcher/src/lifecycle/listen.rs
@@ -5,7 +5,7 @@
 use super::error_chain::ErrorChain;
 use super::inherit::{self, InheritedListener};
 use crate::core::clock;
-use crate::wire::socket::{ConnectError, LocalRetry};
+use crate::wire::socket::{ConnectError, LocalShortageBackoff};
 use may::net::TcpListener;
 use roselock::{Micros, SECOND};
 use std::io;
@@ -64,7 +64,7 @@
 /// shortage.
 pub fn bind(address: SocketAddr, suffix: &'static str) -> Result<Listener, ListenError> {
     let deadline = clock::now() + BIND_TIMEOUT;
-    let mut retry = LocalRetry::default();
+    let mut retry = LocalShortageBackoff::default();
     loop {
         match TcpListener::bind(address).map_err(ConnectError::from) {
             Ok(socket) => return Listener::new(socket),
--- a/dispatcher/src/lifecycle/relay.rs
+++ b/dispatcher/src/lifecycle/relay.rs
@@ -9,7 +9,7 @@
 use crate::core::{CallbackRelay, Inbox};
 use crate::wire::callbacks;
 use reader::RelayReader;
-use roselock::settings::{Site, fnv};
+use roselock::settings::{Site, fnv1a};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::Duration;
@@ -45,7 +45,7 @@
 
 /// The common prefix of the names of the relay files.
 fn file_prefix(name: &str, names: &[&[String]]) -> String {
-    let hash = fnv(format!("{name:?} {names:?}").as_bytes());
+    let hash = fnv1a(format!("{name:?} {names:?}").as_bytes());
     let sanitize = |character: char| if character.is_ascii_alphanumeric() { character } else { '_' };
     let name: String = name.chars().map(sanitize).collect();
     format!("roselock-{name}-{hash:016x}.relay.")
--- a/dispatcher/src/lifecycle/reload.rs
+++ b/dispatcher/src/lifecycle/reload.rs
@@ -48,7 +48,7 @@
         let name = &old.name;
         // Noted even if the settings are not applied, because the platform may derive the time of its SIGKILL
         // from any settings that it has passed.
-        self.inbox.note_client_timeout(max_client_timeout(&new.site.settings));
+        self.inbox.record_client_timeout(max_client_timeout(&new.site.settings));
         if new.discovery != old.discovery {
             self.move_discovery(name, new);
         }
@@ -58,10 +58,10 @@
             self.apply_settings(new);
         } else {
             let change = "names of classes, tenants, zones or kinds, or load reports";
-            tracing::warn!(%name, %change, "keeping the current settings, change takes effect at the next start");
+            tracing::warn!(%name, %change, "keeping the current settings, change takes effect after a restart");
         }
         if new.listen != old.listen || new.limits != old.limits {
-            tracing::info!(%name, change = "listen address or limits", "change takes effect at the next start");
+            tracing::info!(%name, change = "listen address or limits", "change takes effect after a restart");
         }
         log::set_level(new.log.level);
         self.reload_gearman(name, new, has_same_names);
@@ -86,7 +86,7 @@
             (Some(_), Some(_)) | (None, None) => {}
             (Some(_), None) | (None, Some(_)) => {
                 let change = "Gearman front end enabled or disabled";
-                tracing::warn!(%name, %change, "change takes effect at the next start");
+                tracing::warn!(%name, %change, "change takes effect after a restart");
             }
         }
     }
@@ -152,7 +152,7 @@
     match front.reload(settings.clone(), Arc::new(new.site.clone())) {
         Ok(deferred) => {
             for change in deferred {
-                tracing::warn!(%name, %change, "Gearman change takes effect at the next start");
+                tracing::warn!(%name, %change, "Gearman change takes effect after a restart");
             }
         }
         Err(error) => {
--- a/dispatcher/src/lifecycle/serve.rs
+++ b/dispatcher/src/lifecycle/serve.rs
@@ -76,7 +76,7 @@
 /// Closes client connections once the process accepts no more requests. Shutting down the write side tells
 /// idle clients; a request that is already in transit is still read, so that its client sends it elsewhere.
 fn close_connections(connections: &ConnectionLimiter, inbox: &Inbox) {
-    connections.finish_writes();
+    connections.shut_down_sheddable_writes();
     let deadline = inbox.exit_deadline().min(clock::now() + CLOSE_TIMEOUT);
     while connections.open() > 0 && clock::now() < deadline {
         std::thread::sleep(POLL_INTERVAL);
--- a/dispatcher/src/lifecycle/startup.rs
+++ b/dispatcher/src/lifecycle/startup.rs
@@ -15,7 +15,7 @@
 use crate::wire::upstream::HttpDialer;
 use may::sync::mpsc;
 use roselock::Settings;
-use roselock::settings::{Site, fnv};
+use roselock::settings::{Site, fnv1a};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -110,7 +110,7 @@
             resync_after: self.config.resync_after,
         });
         let cached_hosts = watcher.record_cached(self.config.cached_list.clone());
-        core.seed_known_hosts(fleet, cached_hosts);
+        core.apply_cached_list(fleet, cached_hosts);
         may::go!(move || watcher.run(&poll_requests));
     }
 
@@ -130,7 +130,7 @@
             inherited: client_listener.is_inherited,
             metrics: self.admin_state.metrics.clone(),
         });
-        self.inbox.note_client_timeout(max_client_timeout(&self.config.site.settings));
+        self.inbox.record_client_timeout(max_client_timeout(&self.config.site.settings));
         let accepting_front = front.clone();
         may::go!(move || front::accept(accepting_front, &socket));
         Ok(StartedHttpFront { front, address })
@@ -165,7 +165,7 @@
     ) -> Result<Arc<Gearman>, StartError> {
         let resolved = ResolvedSettings::resolve(settings, self.shares.gearman_bytes)?;
         let seed = self.config.seed;
-        let incarnation = seed ^ fnv(self.config.name.as_bytes()) ^ clock::now() as u64;
+        let incarnation = seed ^ fnv1a(self.config.name.as_bytes()) ^ clock::now() as u64;
         let front = Arc::new(Gearman::new(GearmanParameters {
             file: settings.clone(),
             settings: resolved,
--- a/dispatcher/src/lifecycle/startup_settings.rs
+++ b/dispatcher/src/lifecycle/startup_settings.rs
@@ -108,7 +108,7 @@
         Some(ConfigError::new(
             former_dial_backoff.span(),
             "door",
-            "this key has another name now",
+            "this key has been renamed",
             "start.dial_backoff",
         ))
     }
@@ -142,5 +142,5 @@
     if range.contains(&number) {
         return Ok(Some(number));
     }
-    Err(ConfigError::new(value.span(), key, format!("{number} makes no sense"), expected))
+    Err(ConfigError::new(value.span(), key, format!("{number} is out of range"), expected))
 }
--- a/dispatcher/src/lifecycle/suspension_store.rs
+++ b/dispatcher/src/lifecycle/suspension_store.rs
@@ -101,7 +101,7 @@
             Err(error) => {
                 let path = self.path.display();
                 tracing::warn!(name = %self.name, %path, reason = %error, "cannot write suspended workers");
-                self.suspensions.note_unsaved(error.to_string());
+                self.suspensions.record_save_failure(error.to_string());
                 std::thread::sleep(POLL_INTERVAL);
             }
         }
@@ -125,7 +125,7 @@
                 Some(SuspendedWorkers { ids, sequence: file.seq })
             }
             Err(error) => {
-                tracing::warn!(%name, %path, reason = %error, "invalid file of suspended workers ignored");
+                tracing::warn!(%name, %path, reason = %error, "ignoring invalid suspension file");
                 None
             }
         }
--- a/dispatcher/src/wire/connection_limiter.rs
+++ b/dispatcher/src/wire/connection_limiter.rs
@@ -87,7 +87,7 @@
 
     /// Shuts down the write side of all sheddable connections. Requests that arrive on them later are not
     /// accepted.
-    pub fn finish_writes(&self) {
+    pub fn shut_down_sheddable_writes(&self) {
         let sheddable = std::mem::take(&mut *self.sheddable.lock());
         for socket in sheddable.values() {
             socket.shut_down_writes();
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -15,7 +15,7 @@
 use roselock::Micros;
 use roselock::settings::Site;
 use roselock_admin::metrics::Metrics;
-use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO, WatchEnd, WatchEndReason};
+use roselock_discovery_client::poll_schedule::{GOLDEN_RATIO_CONJUGATE, WatchEnd, WatchEndReason};
 use std::sync::Arc;
 use std::time::Duration;
 use watch_error::WatchError;
@@ -141,7 +141,7 @@
         self.inbox.post(Input::DiscoveryMoved { fleet: self.fleet, at: moved_at });
         // Revisions of the former address are not comparable with those of the new one.
         self.history = ListHistory::default();
-        let position = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO).fract();
+        let position = (f64::from(self.site.settings.instance_index) * GOLDEN_RATIO_CONJUGATE).fract();
         let spread = (self.resync_after as f64 * position) as Micros;
         self.resync_at = Some(deadline_after(self.resync_after + spread));
     }
@@ -174,7 +174,7 @@
         match error {
             WatchError::LocalShortage(_) => WatchEndReason::LocalFailure,
             _ if !self.progress.connected => WatchEndReason::Unreachable,
-            WatchError::TimedOut => WatchEndReason::Silent,
+            WatchError::TimedOut => WatchEndReason::TimedOut,
             _ => WatchEndReason::Refused,
         }
     }
--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -7,7 +7,7 @@
 use crate::wire::http::{HttpError, Reader, deadline_after};
 use crate::wire::list::{EndpointList, listed_hosts};
 use crate::wire::list_parser::{ListParser, MalformedList};
-use crate::wire::socket::{ConnectError, LocalRetry, Socket};
+use crate::wire::socket::{ConnectError, LocalShortageBackoff, Socket};
 use roselock::{ListMode, Micros, SECOND};
 use roselock_discovery_client::poll_schedule::WATCH_TIMEOUT;
 use std::convert::Infallible;
@@ -43,7 +43,7 @@
     /// Opens a connection, which a move closes. Retries while this machine is out of a resource.
     fn connect(&mut self, location: Location) -> Result<Socket, WatchError> {
         let deadline = deadline_after(CONNECT_TIMEOUT);
-        let mut retry = LocalRetry::default();
+        let mut retry = LocalShortageBackoff::default();
         let socket = loop {
             match Socket::connect(location.address, deadline) {
                 Ok(socket) => break socket,
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -73,5 +73,5 @@
     let is_inherited = front.inherited;
     let may_accept = move || !is_inherited || inbox.shutdown_requested_at().is_none();
     connections.accept(listener, may_accept, move |stream, peer| connection::serve(&front, stream, peer));
-    tracing::info!("no more connections are taken: the next process takes them on the inherited listener");
+    tracing::info!("stopped accepting connections: the next process accepts on the inherited listener");
 }
--- a/dispatcher/src/wire/front/connection/routing.rs
+++ b/dispatcher/src/wire/front/connection/routing.rs
@@ -85,7 +85,7 @@
         let writer = self.writer.get_or_insert_with(|| Writer::start(front, &self.socket));
         writer.exchange().in_flight = Some(in_flight);
         writer.exchange().close_requested = close_requested;
-        let id = front.inbox.stream_id();
+        let id = front.inbox.next_stream_id();
         let new = NewStream { id, downstream: writer.downstream(&front.inbox), ..new };
         if !front.inbox.submit(Box::new(new)) {
             // The process is exiting and accepts no more streams.
--- a/dispatcher/src/wire/front/request.rs
+++ b/dispatcher/src/wire/front/request.rs
@@ -3,7 +3,7 @@
 use super::Front;
 use crate::core::{Answer, Downstream, NewStream, Payload};
 use crate::wire::http::Message;
-use roselock::settings::fnv;
+use roselock::settings::fnv1a;
 use roselock::{ClassId, KeyId, Micros, SECOND, TenantId};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     let path = message.text(&message.target).split('?').next().unwrap_or("");
     let (_service, rest) = path.trim_start_matches('/').split_once('/')?;
     let key = rest.rsplit('/').next()?;
-    (!key.is_empty()).then(|| KeyId(fnv(key.as_bytes())))
+    (!key.is_empty()).then(|| KeyId(fnv1a(key.as_bytes())))
 }
 
 /// The stream of a request; `None` if a required part is missing or invalid.
@@ -57,9 +57,9 @@
         return None;
     }
     let id = message.header_range("x-call-id").filter(|id| !message.text(id).trim().is_empty())?;
-    let class = front.site.classes.known(message.header_value("x-call-class")?)?;
+    let class = front.site.classes.get(message.header_value("x-call-class")?)?;
     let budget = parse_budget(&message)?;
-    let tenant = message.header_value("x-caller").and_then(|name| front.site.tenants.known(name));
+    let tenant = message.header_value("x-caller").and_then(|name| front.site.tenants.get(name));
     let info = message.header_value("x-call-info").unwrap_or("");
     Some(NewStream {
         id: 0,
--- a/dispatcher/src/wire/front/writer.rs
+++ b/dispatcher/src/wire/front/writer.rs
@@ -23,9 +23,9 @@
 
 impl Downstream for AnswerSender {
     fn answer(&self, answer: Answer, _attempts_run: u32) {
-        self.inbox.response_pending();
+        self.inbox.record_pending_response();
         if self.answers.send(answer).is_err() {
-            self.inbox.response_written();
+            self.inbox.record_written_response();
         }
     }
 }
@@ -78,7 +78,7 @@
             while let Ok(answer) = pending_answers.recv() {
                 let result = process_answer(&front, &socket, &exchange, &answer);
                 // The process may exit from here on; its exit closes the connection gracefully.
-                front.inbox.response_written();
+                front.inbox.record_written_response();
                 if result_sender.send(result).is_err() {
                     break;
                 }
--- a/dispatcher/src/wire/gearman/admin.rs
+++ b/dispatcher/src/wire/gearman/admin.rs
@@ -84,10 +84,10 @@
 fn status(front: &Gearman) -> String {
     list_functions(front, |name, counts| {
         let total = counts.jobs();
-        if counts.closed && total + counts.able == 0 {
+        if counts.closed && total + counts.registered_workers == 0 {
             return None;
         }
-        Some(format!("{name}\t{total}\t{}\t{}\n", counts.running, counts.able))
+        Some(format!("{name}\t{total}\t{}\t{}\n", counts.running, counts.registered_workers))
     })
 }
 
@@ -95,7 +95,7 @@
 fn priority_status(front: &Gearman) -> String {
     list_functions(front, |name, counts| {
         let [high, normal, low] = counts.queued;
-        Some(format!("{name}\t{high}\t{normal}\t{low}\t{}\n", counts.able))
+        Some(format!("{name}\t{high}\t{normal}\t{low}\t{}\n", counts.registered_workers))
     })
 }
 
@@ -189,7 +189,7 @@
         return error_line("UNKNOWN_FUNCTION", "not taken here");
     };
     let parsed: Result<Vec<i64>, _> = sizes.iter().map(|size| size.parse::<i64>()).collect();
-    let limit = |size: i64| usize::try_from(size).unwrap_or(front.settings.bounds.jobs);
+    let limit = |size: i64| usize::try_from(size).unwrap_or(front.settings.bounds.max_jobs);
     let max_queue = match parsed.as_deref() {
         Ok([]) => registry.functions[function].queue.max_queue,
         Ok([all]) => [limit(*all); 3],
@@ -215,7 +215,7 @@
         return error_line("UNKNOWN_FUNCTION", "not taken here");
     };
     let counts = front.jobs.lock().backlog.counts(function);
-    if counts.jobs() > 0 || counts.able > 0 {
+    if counts.jobs() > 0 || counts.registered_workers > 0 {
         return error_line("FUNCTION_IN_USE", "there are still workers or jobs of it");
     }
     front.close_function(function);
--- a/dispatcher/src/wire/gearman/connection.rs
+++ b/dispatcher/src/wire/gearman/connection.rs
@@ -13,7 +13,7 @@
 use may::net::{TcpListener, TcpStream};
 use may::sync::mpsc::channel;
 use roselock::{Micros, SECOND};
-use roselock_gearman::decode::CHUNK;
+use roselock_gearman::decode::READ_CHUNK_BYTES;
 use roselock_gearman::{Decoder, Frame, Kind, Limits, Magic};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -99,14 +99,14 @@
     }
 
     fn run(mut self) {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; READ_CHUNK_BYTES];
         loop {
             let received = match self.receive(&mut buffer) {
                 ControlFlow::Continue(ReadOutcome::Bytes(received)) => received,
                 ControlFlow::Continue(ReadOutcome::IdleTimeout) => continue,
                 ControlFlow::Break(()) => return,
             };
-            if !self.decoder.is_inside() {
+            if !self.decoder.has_partial_frame() {
                 self.packet_deadline = deadline_after(REQUEST_READ_TIMEOUT);
             }
             self.decoder.feed(&buffer[..received]);
@@ -119,12 +119,13 @@
     /// Reads from the socket. Breaks if the connection has ended or was shed.
     fn receive(&self, buffer: &mut [u8]) -> ControlFlow<(), ReadOutcome> {
         let is_worker_or_waiting = self.is_worker_or_waiting();
-        let is_inside = self.decoder.is_inside();
+        let has_partial_frame = self.decoder.has_partial_frame();
         let is_identified = self.unidentified.is_none();
-        let is_idle = is_identified && !is_worker_or_waiting && !is_inside;
+        let is_idle = is_identified && !is_worker_or_waiting && !has_partial_frame;
         let idle = is_idle.then(|| self.front.connections.mark_sheddable(ShedPriority::Idle, self.socket));
         let deadline = self.read_deadline();
-        if self.front.settings.quick_ack && self.peer.is_worker.load(Ordering::Relaxed) && !is_inside {
+        if self.front.settings.quick_ack && self.peer.is_worker.load(Ordering::Relaxed) && !has_partial_frame
+        {
             // With Nagle's algorithm, a worker's library delays its next packet until this one is acknowledged.
             self.socket.acknowledge();
         }
@@ -137,7 +138,7 @@
             Ok(received) => ControlFlow::Continue(ReadOutcome::Bytes(received)),
             Err(error) => {
                 let is_timeout = error.kind() == ErrorKind::TimedOut;
-                if is_timeout && is_identified && !is_inside && is_worker_or_waiting {
+                if is_timeout && is_identified && !has_partial_frame && is_worker_or_waiting {
                     return ControlFlow::Continue(ReadOutcome::IdleTimeout);
                 }
                 ControlFlow::Break(())
@@ -154,7 +155,7 @@
     fn read_deadline(&self) -> Micros {
         if self.unidentified.is_some() {
             self.first_packet_deadline
-        } else if self.decoder.is_inside() {
+        } else if self.decoder.has_partial_frame() {
             self.packet_deadline
         } else {
             deadline_after(IDLE_TIMEOUT)
--- a/dispatcher/src/wire/gearman/function.rs
+++ b/dispatcher/src/wire/gearman/function.rs
@@ -155,7 +155,7 @@
 
 fn resolve_tenant(entry: &FunctionEntry, site: &Site) -> Result<Option<TenantId>, ConfigError> {
     let Some(name) = &entry.tenant else { return Ok(None) };
-    let Some(tenant) = site.tenants.known(name.get_ref()) else {
+    let Some(tenant) = site.tenants.get(name.get_ref()) else {
         let problem = format!("unknown tenant {:?}", name.get_ref());
         let expected = format!("one of: {}", site.tenants.names().join(", "));
         return Err(ConfigError::new(name.span(), "tenant", problem, expected));
@@ -192,7 +192,7 @@
 }
 
 fn resolve_class(key: &str, name: &Spanned<String>, site: &Site) -> Result<ClassId, ConfigError> {
-    let Some(class) = site.classes.known(name.get_ref()) else {
+    let Some(class) = site.classes.get(name.get_ref()) else {
         let problem = format!("unknown class {:?}", name.get_ref());
         let expected = format!("one of: {}", site.classes.names().join(", "));
         return Err(ConfigError::new(name.span(), key, problem, expected));
--- a/dispatcher/src/wire/gearman/job_source.rs
+++ b/dispatcher/src/wire/gearman/job_source.rs
@@ -18,7 +18,7 @@
     fn next(&self, now: Micros) -> Option<NewStream> {
         let front = &self.0;
         let mut jobs = front.jobs.lock();
-        let stream = front.inbox.stream_id();
+        let stream = front.inbox.next_stream_id();
         let Some(released) = jobs.backlog.release(now, || stream) else {
             jobs.is_event_loop_notified = false;
             return None;
--- a/dispatcher/src/wire/gearman/outbox.rs
+++ b/dispatcher/src/wire/gearman/outbox.rs
@@ -115,7 +115,7 @@
 
     fn close_on_overflow(&self, queued: usize) {
         if !self.is_overflowed.swap(true, Ordering::SeqCst) {
-            tracing::warn!(queued, "gearman: a connection that does not read is closed");
+            tracing::warn!(queued, "closing Gearman connection: its peer does not read");
             self.socket.close();
         }
     }
@@ -210,7 +210,7 @@
         for packet in batch.drain(..) {
             self.peer.outbox.subtract_queued(packet.size());
             if packet.is_final {
-                self.front.inbox.response_written();
+                self.front.inbox.record_written_response();
             }
         }
     }
@@ -220,7 +220,7 @@
     fn discard_pending_messages(&self) {
         while let Ok(message) = self.receiver.try_recv() {
             match message {
-                OutboxMessage::Write(packet) if packet.is_final => self.front.inbox.response_written(),
+                OutboxMessage::Write(packet) if packet.is_final => self.front.inbox.record_written_response(),
                 OutboxMessage::Start { request, .. } => report_not_started(self.front, request.id, true),
                 _ => {}
             }
--- a/dispatcher/src/wire/gearman/packet_handler.rs
+++ b/dispatcher/src/wire/gearman/packet_handler.rs
@@ -5,7 +5,7 @@
 use super::replies::{error_reply, reply};
 use super::{Gearman, admin, job_status, submission};
 use roselock::{Micros, SECOND};
-use roselock_gearman::packet::number;
+use roselock_gearman::packet::parse_number;
 use roselock_gearman::{Frame, Kind, Packet};
 use std::sync::Arc;
 
@@ -126,7 +126,7 @@
     }
 
     fn register_with_time_limit(&self, function: &[u8], seconds: &[u8]) -> Option<Vec<u8>> {
-        let Some(seconds) = number(seconds).filter(|seconds| *seconds <= MAX_TIME_LIMIT_S) else {
+        let Some(seconds) = parse_number(seconds).filter(|seconds| *seconds <= MAX_TIME_LIMIT_S) else {
             return Some(error_reply("INVALID_ARGUMENTS", "a time limit is a number of seconds"));
         };
         let limit = Some(seconds as Micros * SECOND).filter(|limit| *limit > 0);
--- a/dispatcher/src/wire/gearman/peer.rs
+++ b/dispatcher/src/wire/gearman/peer.rs
@@ -5,7 +5,7 @@
 use super::{Gearman, timers};
 use parking_lot::Mutex;
 use roselock::WorkerId;
-use roselock::settings::fnv;
+use roselock::settings::fnv1a;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
 
@@ -48,7 +48,7 @@
 
     /// The ID of the worker as an upstream host.
     pub fn worker_id(&self) -> WorkerId {
-        WorkerId(fnv(self.uid().as_bytes()))
+        WorkerId(fnv1a(self.uid().as_bytes()))
     }
 
     /// Queues a packet for sending.
@@ -58,9 +58,9 @@
 
     /// Queues the final answer to a job. The process waits for it to be written before it ends.
     pub fn send_final(&self, front: &Gearman, head: Vec<u8>, body: PacketBody) {
-        front.inbox.response_pending();
+        front.inbox.record_pending_response();
         if !self.outbox.write(OutgoingPacket { head, body, is_final: true }) {
-            front.inbox.response_written();
+            front.inbox.record_written_response();
         }
     }
 }
--- a/dispatcher/src/wire/gearman/registration.rs
+++ b/dispatcher/src/wire/gearman/registration.rs
@@ -8,7 +8,7 @@
 use super::worker_state::WorkerCounts;
 use crate::core::{FleetId, Input};
 use crate::lifecycle::settings_error::ConfigError;
-use roselock::settings::{Site, fnv};
+use roselock::settings::{Site, fnv1a};
 use std::sync::Arc;
 use thiserror::Error;
 
@@ -108,7 +108,7 @@
             function.fleet = *next_fleet_id;
             *next_fleet_id += 1;
             let settings = Box::new(fleet_settings(&self.site.load(), &self.file_settings.load()));
-            let seed = self.seed ^ fnv(function.name.as_bytes());
+            let seed = self.seed ^ fnv1a(function.name.as_bytes());
             self.inbox.post(Input::FleetAdded { fleet: function.fleet, settings, seed });
         }
         let mut jobs = self.jobs.lock();
@@ -133,7 +133,7 @@
     /// If a setting is invalid. Nothing has changed then.
     pub fn reload(&self, new: GearmanSettings, site: Arc<Site>) -> Result<Vec<DelayedChange>, ConfigError> {
         let functions = function::resolve_functions(&new, &site)?;
-        let settings = ResolvedSettings::resolve(&new, self.settings.bounds.bytes)?;
+        let settings = ResolvedSettings::resolve(&new, self.settings.bounds.max_bytes)?;
         let mut delayed = Vec::new();
         if self.file_settings.load().listen != new.listen {
             delayed.push(DelayedChange::Address);
--- a/dispatcher/src/wire/gearman/replies.rs
+++ b/dispatcher/src/wire/gearman/replies.rs
@@ -1,10 +1,10 @@
 //! Encodes the packets that the server sends.
 
-use roselock_gearman::packet::{HEAD, encode};
+use roselock_gearman::packet::{HEADER_BYTES, encode};
 use roselock_gearman::{Kind, Magic, packet};
 
 /// The bytes of the packet header that hold the size of the arguments.
-const SIZE_FIELD: std::ops::Range<usize> = 8..HEAD;
+const SIZE_FIELD: std::ops::Range<usize> = 8..HEADER_BYTES;
 
 /// Encodes a packet.
 pub fn reply(kind: Kind, args: &[&[u8]]) -> Vec<u8> {
@@ -17,7 +17,7 @@
     let mut head = Vec::new();
     let args: Vec<&[u8]> = args.iter().copied().chain([&b""[..]]).collect();
     encode(Magic::Res, kind, &args, &mut head);
-    let size = (head.len() - HEAD + body_size) as u32;
+    let size = (head.len() - HEADER_BYTES + body_size) as u32;
     head[SIZE_FIELD].copy_from_slice(&size.to_be_bytes());
     head
 }
--- a/dispatcher/src/wire/gearman/resolved_settings.rs
+++ b/dispatcher/src/wire/gearman/resolved_settings.rs
@@ -60,7 +60,7 @@
         let grab_timeout_range = AllowedRange { min: 0.01, max: 3600.0 };
         let grab_timeout_s = number_in_range("grab_s", file.grab_s.as_ref(), 1.0, grab_timeout_range)?;
         Ok(ResolvedSettings {
-            bounds: Bounds { jobs: file.max_jobs, bytes: job_bytes },
+            bounds: Bounds { max_jobs: file.max_jobs, max_bytes: job_bytes },
             max_job_bytes,
             max_outbox_bytes,
             grab_timeout: micros_from_seconds(grab_timeout_s),
--- a/dispatcher/src/wire/gearman/submission.rs
+++ b/dispatcher/src/wire/gearman/submission.rs
@@ -8,7 +8,7 @@
 use crate::core::{Payload, clock};
 use roselock::{Micros, SECOND};
 use roselock_backlog::{CalendarFields, JobNo, NewJob, Rejection, Waiter};
-use roselock_gearman::submit::Invalid;
+use roselock_gearman::submit::InvalidSubmission;
 use roselock_gearman::{Kind, Malformed, Packet, Submission, When};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -26,7 +26,7 @@
     #[error(transparent)]
     Malformed(#[from] Malformed),
     #[error(transparent)]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] InvalidSubmission),
     #[error("a unique id has at most 256 bytes")]
     UniqueTooLarge,
     #[error("at most {max_bytes} bytes of data")]
@@ -62,10 +62,10 @@
     /// The code for the ERROR packet.
     fn code(&self) -> &'static str {
         match self {
-            SubmitError::Invalid(Invalid::Kind) => "UNEXPECTED_PACKET",
-            SubmitError::Malformed(_) | SubmitError::Invalid(Invalid::Time) | SubmitError::Schedule(_) => {
-                "INVALID_ARGUMENTS"
-            }
+            SubmitError::Invalid(InvalidSubmission::Kind) => "UNEXPECTED_PACKET",
+            SubmitError::Malformed(_)
+            | SubmitError::Invalid(InvalidSubmission::Time)
+            | SubmitError::Schedule(_) => "INVALID_ARGUMENTS",
             SubmitError::UniqueTooLarge => "UNIQUE_TOO_LARGE",
             SubmitError::DataTooLarge { .. } => "TOO_LARGE",
             SubmitError::ShuttingDown => "SHUTTING_DOWN",
@@ -100,7 +100,7 @@
 
 /// Whether a job with `bytes` of data fits into the memory limit.
 pub fn has_capacity_for(front: &Gearman, bytes: usize) -> bool {
-    front.jobs.lock().backlog.bytes() + bytes <= front.settings.bounds.bytes
+    front.jobs.lock().backlog.bytes() + bytes <= front.settings.bounds.max_bytes
 }
 
 /// Queues a job, or joins it to a pending one with the same function and unique ID. Returns an ERROR packet if the job is
--- a/dispatcher/src/wire/gearman/worker_jobs.rs
+++ b/dispatcher/src/wire/gearman/worker_jobs.rs
@@ -142,7 +142,7 @@
     fn has_waiting_jobs(&self, front: &Gearman) -> bool {
         let functions = self.registered_functions();
         let jobs = front.jobs.lock();
-        functions.iter().any(|function| jobs.backlog.counts(*function).wants_workers())
+        functions.iter().any(|function| jobs.backlog.counts(*function).has_waiting_jobs())
     }
 
     fn send_job(&self, front: &Gearman, kind: Kind, job: GrabbedJob) {
--- a/dispatcher/src/wire/gearman/worker_registration.rs
+++ b/dispatcher/src/wire/gearman/worker_registration.rs
@@ -70,11 +70,11 @@
         self.is_worker.store(true, Ordering::Relaxed);
         self.update(front, |worker| worker.can_do(function, time_limit, clock::now()));
         self.publish_endpoint(front, function, EndpointState::Ready);
-        let is_engaged = self.worker.lock().is_engaged();
+        let is_busy = self.worker.lock().is_busy();
         front.inbox.post(Input::Capacity {
             fleet: front.function_registry.load().functions[function].fleet,
             worker: self.worker_id(),
-            free_slots: if is_engaged { 0.0 } else { 1.0 },
+            free_slots: if is_busy { 0.0 } else { 1.0 },
         });
         None
     }
@@ -115,7 +115,7 @@
     pub fn republish_if_unresponsive(self: &Arc<Self>, front: &Gearman) {
         let functions: Vec<usize> = {
             let worker = self.worker.lock();
-            if worker.is_unresponsive() { worker.able().collect() } else { Vec::new() }
+            if worker.is_unresponsive() { worker.registered_functions().collect() } else { Vec::new() }
         };
         for function in functions {
             self.publish_endpoint(front, function, EndpointState::Ready);
--- a/dispatcher/src/wire/gearman/worker_reports.rs
+++ b/dispatcher/src/wire/gearman/worker_reports.rs
@@ -7,7 +7,7 @@
 use super::worker_state::ReservedJob;
 use crate::core::{ConnectionState, OutputKind, UpstreamEvent, UpstreamId, clock};
 use roselock::{EndpointState, LoadReport, Micros, Outcome};
-use roselock_gearman::packet::number;
+use roselock_gearman::packet::parse_number;
 use roselock_gearman::server::{Expiry, Finish};
 use roselock_gearman::{Kind, Packet};
 use std::sync::Arc;
@@ -38,9 +38,10 @@
     /// Handles WORK_STATUS, WORK_DATA and WORK_WARNING: relays progress and output that precede the result.
     pub fn relay_output(&self, front: &Gearman, packet: &Packet) -> Option<Vec<u8>> {
         let (handle, event) = match *packet {
-            Packet::WorkStatus { handle, numerator, denominator } => {
-                (handle, self.record_progress(front, handle, number(numerator)?, number(denominator)?)?)
-            }
+            Packet::WorkStatus { handle, numerator, denominator } => (
+                handle,
+                self.record_progress(front, handle, parse_number(numerator)?, parse_number(denominator)?)?,
+            ),
             Packet::WorkData { handle, data } => {
                 (handle, UpstreamEvent::Output { kind: OutputKind::Data, bytes: data.to_vec() })
             }
@@ -112,7 +113,7 @@
             None => {}
             Some(Expiry::NoJob) => self.send(reply(Kind::NoJob, &[])),
             Some(Expiry::NotGrabbed(job)) => {
-                tracing::warn!(worker = self.uid(), "gearman: a worker was woken and did not come");
+                tracing::warn!(worker = self.uid(), "Gearman worker was woken but did not grab its job");
                 for function in self.registered_functions() {
                     self.publish_endpoint(front, function, EndpointState::Draining);
                 }
--- a/dispatcher/src/wire/gearman/worker_state.rs
+++ b/dispatcher/src/wire/gearman/worker_state.rs
@@ -53,9 +53,9 @@
 
 impl Availability {
     fn from_state(state: &WorkerState) -> Availability {
-        let registered_functions: Vec<usize> = state.able().collect();
+        let registered_functions: Vec<usize> = state.registered_functions().collect();
         let is_free = registered_functions.first().is_some_and(|function| state.is_free_for(*function));
-        Availability { registered_functions, is_free, busy_function: state.engaged_in() }
+        Availability { registered_functions, is_free, busy_function: state.busy_function() }
     }
 }
 
@@ -95,7 +95,7 @@
 impl Peer {
     /// The functions that the worker has registered.
     pub fn registered_functions(&self) -> Vec<usize> {
-        self.worker.lock().able().collect()
+        self.worker.lock().registered_functions().collect()
     }
 
     /// Updates the worker state, and publishes the effects: the worker counts of each function, and the worker's capacity
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -39,7 +39,7 @@
 }
 
 impl FlowSink for QueueSender {
-    fn finished(&self, flow: Flow) {
+    fn record_flow(&self, flow: Flow) {
         let queued = self.counts.queued.fetch_add(1, Ordering::SeqCst);
         if queued >= MAX_QUEUED_RECORDS || self.records.send(flow).is_err() {
             self.counts.queued.fetch_sub(1, Ordering::SeqCst);
--- a/dispatcher/src/wire/ipfix/exporter.rs
+++ b/dispatcher/src/wire/ipfix/exporter.rs
@@ -60,7 +60,7 @@
     pub(super) fn run(mut self, queue: &Receiver<Flow>) {
         loop {
             let next_due_at = self.send_if_due(clock::now());
-            match queue.recv_timeout(clock::left(next_due_at)) {
+            match queue.recv_timeout(clock::time_until(next_due_at)) {
                 Ok(flow) => {
                     self.counts.queued.fetch_sub(1, Ordering::SeqCst);
                     self.add_flow(&flow);
--- a/dispatcher/src/wire/ipfix/record.rs
+++ b/dispatcher/src/wire/ipfix/record.rs
@@ -61,8 +61,8 @@
         bytes.extend(((flow.start / MICROS_PER_MILLI) as u64).to_be_bytes());
         bytes.extend(((flow.end / MICROS_PER_MILLI) as u64).to_be_bytes());
         bytes.extend(u64::from(flow.stream).to_be_bytes());
-        bytes.extend((flow.received as u64).to_be_bytes());
-        bytes.extend((flow.sent as u64).to_be_bytes());
+        bytes.extend((flow.bytes_received as u64).to_be_bytes());
+        bytes.extend((flow.bytes_sent as u64).to_be_bytes());
         bytes.extend([PROTOCOL_TCP, end.reason]);
         bytes.extend(end.status.to_be_bytes());
         bytes.extend(source.port().to_be_bytes());
--- a/dispatcher/src/wire/list.rs
+++ b/dispatcher/src/wire/list.rs
@@ -1,7 +1,7 @@
 //! The JSON format of the endpoint list that discovery sends, and its conversion to upstream hosts. No I/O.
 
 use crate::core::ListedHost;
-use roselock::settings::{Site, fnv};
+use roselock::settings::{Site, fnv1a};
 use roselock::{CellId, Endpoint, EndpointState, KindId, Micros, WorkerId, ZoneId};
 use serde::Deserialize;
 
@@ -55,11 +55,11 @@
             return None;
         }
         let endpoint = Endpoint {
-            worker: WorkerId(fnv(self.uid.as_bytes())),
+            worker: WorkerId(fnv1a(self.uid.as_bytes())),
             state,
-            zone: ZoneId(site.zones.id(&self.zone) as u16),
+            zone: ZoneId(site.zones.get_or_insert(&self.zone) as u16),
             cell: CellId(self.cell),
-            kind: KindId(site.kinds.id(&self.kind) as u16),
+            kind: KindId(site.kinds.get_or_insert(&self.kind) as u16),
             units: self.units,
             started_at: (self.started_at_ms > 0.0).then_some((self.started_at_ms * 1e3) as Micros),
         };
--- a/dispatcher/src/wire/socket.rs
+++ b/dispatcher/src/wire/socket.rs
@@ -54,17 +54,17 @@
 
 /// Exponential backoff for retries after a local shortage.
 #[derive(Clone, Copy, Debug)]
-pub struct LocalRetry {
+pub struct LocalShortageBackoff {
     next_delay: Micros,
 }
 
-impl Default for LocalRetry {
-    fn default() -> LocalRetry {
-        LocalRetry { next_delay: INITIAL_RETRY_DELAY }
+impl Default for LocalShortageBackoff {
+    fn default() -> LocalShortageBackoff {
+        LocalShortageBackoff { next_delay: INITIAL_RETRY_DELAY }
     }
 }
 
-impl LocalRetry {
+impl LocalShortageBackoff {
     /// Waits before the next attempt. Returns false without waiting if the deadline would pass first.
     pub fn wait(&mut self, deadline: Micros) -> bool {
         if clock::now() + self.next_delay >= deadline {
@@ -102,7 +102,7 @@
     /// The peer refused the connection, could not be reached before the deadline, or this machine is out of a
     /// resource.
     pub fn connect(address: SocketAddr, deadline: Micros) -> Result<Socket, ConnectError> {
-        let left = clock::left(deadline);
+        let left = clock::time_until(deadline);
         if left.is_zero() {
             return Err(ConnectError::Peer(ErrorKind::TimedOut.into()));
         }
@@ -137,7 +137,7 @@
     }
 
     fn wait_to_read(&self, deadline: Micros) -> io::Result<()> {
-        let left = clock::left(deadline);
+        let left = clock::time_until(deadline);
         if left.is_zero() {
             return Err(ErrorKind::TimedOut.into());
         }
@@ -189,7 +189,9 @@
                 Ok(count) => IoSlice::advance_slices(&mut rest, count),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // The peer reads too slowly. Only the reader may wait for socket events, so the writer polls.
-                Err(error) if error.kind() == ErrorKind::WouldBlock && !clock::left(deadline).is_zero() => {
+                Err(error)
+                    if error.kind() == ErrorKind::WouldBlock && !clock::time_until(deadline).is_zero() =>
+                {
                     may::coroutine::sleep(WRITE_RETRY_DELAY);
                 }
                 Err(error) => return Err(error),
--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -6,7 +6,7 @@
 use super::response::response_event;
 use crate::core::{ConnectionState, Input, RequestKind, UpstreamEvent, UpstreamRequest, clock};
 use crate::wire::http::{HttpError, Reader, deadline_after};
-use crate::wire::socket::{ConnectError, LocalRetry, Socket};
+use crate::wire::socket::{ConnectError, LocalShortageBackoff, Socket};
 use may::sync::mpsc::Receiver;
 use roselock::{LoadReport, Micros, Outcome};
 use roselock_dial_limiter::IMMEDIATE_CLOSE;
@@ -158,7 +158,7 @@
         let give_up_at = request.begin_by.min(request.deadline);
         let timeout = request.connect_by - clock::now();
         let mut connect_by = request.connect_by;
-        let mut retry = LocalRetry::default();
+        let mut retry = LocalShortageBackoff::default();
         loop {
             if self.phase.is_aborted() {
                 return Err(OpenError::Failed);
--- a/dispatcher/src/wire/upstream/request.rs
+++ b/dispatcher/src/wire/upstream/request.rs
@@ -42,7 +42,7 @@
     payload: &Payload,
     deadline: Micros,
 ) -> io::Result<()> {
-    let budget = clock::left(deadline - DEADLINE_MARGIN).as_secs_f64();
+    let budget = clock::time_until(deadline - DEADLINE_MARGIN).as_secs_f64();
     let framing = format!("\r\nX-Budget: {budget:.6}\r\nContent-Length: {}\r\n\r\n", payload.body.len());
     let key = payload.part(&payload.idempotency_key);
     let key_name: &[u8] = if key.is_empty() { b"" } else { b"\r\nIdempotency-Key: " };
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -24,7 +24,7 @@
         };
         let delay = (request.budget - self.settings.tick).max(0);
         out.push(Action::Timer { delay, token: request.job.0 as u64 });
-        let already_spent = self.work.time_already_spent(class, request.budget);
+        let already_spent = self.work.time_since_first_attempt(class, request.budget);
         let key = request.key.filter(|_| self.settings.costs.origin_fetch > 0.0);
         let job = Job {
             class,
@@ -36,7 +36,7 @@
             key,
             cached_on: self.placement.cache_locations(key),
             arrived_at: self.now,
-            first_asked_at: self.now - already_spent,
+            client_first_attempt_at: self.now - already_spent,
             deadline: self.now.saturating_add(request.budget.max(0)),
             relative_weight: quota_weight * weight / self.work.mean_weight.mean.max(f64::MIN_POSITIVE),
             waiting: true,
--- a/src/decisions/candidates.rs
+++ b/src/decisions/candidates.rs
@@ -5,7 +5,7 @@
 use crate::state::resources::SLOT;
 use crate::state::sequence::mix_bits;
 use crate::state::workers::Worker;
-use roselock_discovery_client::poll_schedule::GOLDEN_RATIO;
+use roselock_discovery_client::poll_schedule::GOLDEN_RATIO_CONJUGATE;
 
 /// Maximum number of candidates with free capacity in a pass: in the local zone, in remote zones, and among
 /// workers that may be warming up.
@@ -23,7 +23,7 @@
     pub(crate) fn rebuild_order(&mut self) {
         let ready = self.workers.iter().enumerate().filter(|(_, worker)| worker.ready);
         let entry = |(index, worker): (usize, &Worker)| RingEntry {
-            hash: mix_bits(worker.listed.worker.0),
+            hash: mix_bits(worker.endpoint.worker.0),
             worker: index,
         };
         self.placement.hash_ring = ready.map(entry).collect();
@@ -42,10 +42,10 @@
 
     /// The ready workers of the local or the remote zones, in ring order from this dispatcher's position on.
     fn rotated_zone_order(&self, remote: bool) -> Vec<usize> {
-        let is_remote = |index: usize| self.workers[index].listed.zone != self.settings.zone;
+        let is_remote = |index: usize| self.workers[index].endpoint.zone != self.settings.zone;
         let ring = self.placement.hash_ring.iter().map(|entry| entry.worker);
         let mut order: Vec<usize> = ring.filter(|index| is_remote(*index) == remote).collect();
-        let start = (self.settings.instance_index as f64 * GOLDEN_RATIO).fract();
+        let start = (self.settings.instance_index as f64 * GOLDEN_RATIO_CONJUGATE).fract();
         let first = (start * order.len() as f64) as usize;
         order.rotate_left(first);
         order
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -36,7 +36,7 @@
     pub(crate) fn watch_ended(&mut self, end: WatchEnd, out: &mut Vec<Action>) {
         let parameters = self.settings.poll_parameters();
         let draw = self.rng.rand_float();
-        let delay = self.discovery.poll_schedule.delay_after_end(self.now, parameters, draw, end);
+        let delay = self.discovery.poll_schedule.delay_after_watch_end(self.now, parameters, draw, end);
         self.discovery.lease.watch_ended(end, self.now + delay);
         out.push(Action::Timer { delay, token: POLL_TOKEN });
     }
@@ -71,7 +71,7 @@
 
     fn listed_endpoint(&self, worker: WorkerId) -> Option<Endpoint> {
         let index = *self.worker_index.get(&worker)?;
-        Some(self.workers[index].listed.clone())
+        Some(self.workers[index].endpoint.clone())
     }
 
     /// Updates the workers from a list. Rule 7: idle connections to a draining worker are closed at once,
@@ -81,13 +81,13 @@
         if mode.is_complete() {
             let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
             for worker in &mut self.workers {
-                worker.ready &= listed.contains(&worker.listed.worker);
+                worker.ready &= listed.contains(&worker.endpoint.worker);
             }
         }
         let mut initial = None;
         for endpoint in endpoints {
             let known = self.worker_index.get(&endpoint.worker).copied();
-            match known.filter(|index| endpoint.started_at == self.workers[*index].listed.started_at) {
+            match known.filter(|index| endpoint.started_at == self.workers[*index].endpoint.started_at) {
                 Some(index) => order_changed |= self.update_worker(index, endpoint),
                 None => {
                     let initial = *initial.get_or_insert_with(|| self.initial_estimates());
@@ -109,12 +109,12 @@
         let mean_run_time = if self.settings.units_fall_with_load { self.mean_run_time() } else { 0.0 };
         let worker = &mut self.workers[index];
         let ready = endpoint.state == EndpointState::Ready;
-        let order_changed = ready != worker.ready || endpoint.zone != worker.listed.zone;
+        let order_changed = ready != worker.ready || endpoint.zone != worker.endpoint.zone;
         if order_changed {
             worker.ready = ready;
             worker.changed = true;
         }
-        worker.listed = endpoint.clone();
+        worker.endpoint = endpoint.clone();
         let report_age = self.now - worker.capacity[SLOT].updated_at;
         if self.settings.units_fall_with_load && report_age > (mean_run_time / 2.0) as Micros {
             let slots = self.max_slots_by_kind.entry(endpoint.kind).or_insert(0.0);
@@ -178,7 +178,7 @@
         }
         if std::mem::take(&mut worker.connections.may_be_open) {
             worker.connections.idle_since.clear();
-            out.push(Action::CloseIdleConnections(worker.listed.worker));
+            out.push(Action::CloseIdleConnections(worker.endpoint.worker));
         }
     }
 }
--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -36,7 +36,7 @@
         }
         let run_time_per_work = match job.in_flight().next_back() {
             None if job.waiting && shortest_run_time.is_finite() => {
-                if !job.is_repeatable(self.now) {
+                if !job.is_retryable(self.now) {
                     return true;
                 }
                 shortest_run_time
--- a/src/decisions/outliers.rs
+++ b/src/decisions/outliers.rs
@@ -20,13 +20,13 @@
             return;
         }
         if worker.health.ejection_backoff == 0 {
-            out.push(Action::Log { message: "worker ejected", worker: worker.listed.worker });
+            out.push(Action::Log { message: "worker ejected", worker: worker.endpoint.worker });
         }
         worker.health.eject(self.now);
         worker.changed = true;
         if !worker.connections.idle_since.is_empty() {
             worker.connections.idle_since.clear();
-            out.push(Action::CloseIdleConnections(worker.listed.worker));
+            out.push(Action::CloseIdleConnections(worker.endpoint.worker));
         }
     }
 
@@ -47,9 +47,9 @@
         let health = &mut self.workers[index].health;
         health.down_at = Some(self.now);
         health.reset_is_only_sign = false;
-        let failed = self.workers[index].listed.clone();
-        self.infer_group_restart(|worker| worker.listed.zone == failed.zone);
-        self.infer_group_restart(|worker| worker.listed.kind == failed.kind);
+        let failed = self.workers[index].endpoint.clone();
+        self.infer_group_restart(|worker| worker.endpoint.zone == failed.zone);
+        self.infer_group_restart(|worker| worker.endpoint.kind == failed.kind);
     }
 
     /// Infers a restart of a whole group if at least as many of its members failed as others hold jobs of
--- a/src/decisions/overdue.rs
+++ b/src/decisions/overdue.rs
@@ -78,6 +78,6 @@
     let elapsed = elapsed as f64;
     if job.hinted && elapsed > OVERRUN_MULTIPLE * attempt.expected_run {
         let log_slowdown = (elapsed / SECOND as f64 / job.work).ln();
-        worker.timing.overrun = worker.timing.overrun.max(log_slowdown);
+        worker.timing.min_log_slowdown = worker.timing.min_log_slowdown.max(log_slowdown);
     }
 }
--- a/src/decisions/payoff.rs
+++ b/src/decisions/payoff.rs
@@ -3,7 +3,7 @@
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::jobs::Job;
-use crate::state::prices::WINDOW;
+use crate::state::prices::PAYOFF_WINDOW_TICKS;
 use crate::state::workers::Worker;
 
 /// Weight of saved ticks (β, γ). Like the next weight it is small: both only rank otherwise equal choices.
@@ -64,7 +64,8 @@
         }
         let window_left = self.ticks_left_in_window();
         let throughput = late_fraction * before_deadline * ticks.min(window_left) / ticks;
-        let saved = SAVED_STEPS_WEIGHT * ((window_left - ticks).max(0.0) + window_left) / (2.0 * WINDOW);
+        let saved =
+            SAVED_STEPS_WEIGHT * ((window_left - ticks).max(0.0) + window_left) / (2.0 * PAYOFF_WINDOW_TICKS);
         let early_start = if self.starts_early(job) { EARLY_START_BONUS } else { 0.0 };
         let tail_miss = match self.settings.tail_miss_fraction {
             Some(_) => TAIL_MISS_COST * (1.0 - within_objective * before_deadline),
@@ -99,7 +100,7 @@
     fn starts_early(&self, job: &Job) -> bool {
         let class = &self.settings.classes[job.class];
         let objective = class.latency_objective as f64 + class.objective_per_work * job.work * SECOND as f64;
-        self.now as f64 - job.first_asked_at as f64 <= EARLY_START_FRACTION * objective
+        self.now as f64 - job.client_first_attempt_at as f64 <= EARLY_START_FRACTION * objective
     }
 
     /// Success probabilities of a job that starts after `start_delay` microseconds at a worker that takes
@@ -112,7 +113,7 @@
     ) -> SuccessProbabilities {
         let class = &self.settings.classes[job.class];
         let now = self.now as f64;
-        let elapsed = now - job.first_asked_at as f64;
+        let elapsed = now - job.client_first_attempt_at as f64;
         let time_left = job.deadline as f64 - now;
         let objective_left = class.latency_objective as f64 - elapsed - start_delay;
         if job.hinted {
--- a/src/decisions/price_updates.rs
+++ b/src/decisions/price_updates.rs
@@ -1,7 +1,7 @@
 //! Price updates by projected gradient steps on columns sampled from the history.
 
 use crate::dispatcher::Dispatcher;
-use crate::state::prices::{GradientStep, HORIZON, ResourceTimeline, add_column};
+use crate::state::prices::{GradientStep, HORIZON_TICKS, ResourceTimeline, add_column};
 use crate::state::resources::RESOURCES;
 use std::collections::BTreeSet;
 
@@ -35,7 +35,7 @@
         }
         self.select_active_workers(&batches);
         self.update_residual_capacity();
-        let horizon = HORIZON as f64 * self.prices.tick as f64;
+        let horizon = HORIZON_TICKS as f64 * self.prices.tick as f64;
         let arrivals = self.arrivals.recent_rate(self.now) * horizon;
         let step = GradientStep {
             expected_starts: (arrivals + self.jobs.waiting.len() as f64).max(1.0),
@@ -60,7 +60,7 @@
         for position in 0..count {
             let drawn = self.rng.rand_range(position as u64..length as u64) as usize;
             order.swap(position, drawn);
-            let start_tick = self.rng.rand_range(0..HORIZON as u64) as usize;
+            let start_tick = self.rng.rand_range(0..HORIZON_TICKS as u64) as usize;
             sampled.push(SampledColumn { column: order[position], start_tick });
         }
         sampled
@@ -90,7 +90,7 @@
             let is_available = if worker.ready && !worker.health.is_ejected() { 1.0 } else { 0.0 };
             let capacity =
                 RESOURCES.map(|resource| worker.capacity[resource].current(self.now, mean_run_time).round());
-            worker.prices.residual = capacity.map(|capacity| [is_available * capacity; HORIZON]);
+            worker.prices.residual = capacity.map(|capacity| [is_available * capacity; HORIZON_TICKS]);
         }
         for job in self.jobs.by_id.values() {
             for attempt in job.attempts.iter().filter(|attempt| attempt.booked) {
--- a/src/decisions/progress.rs
+++ b/src/decisions/progress.rs
@@ -3,7 +3,7 @@
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
 use crate::state::capacity::StartEvidence;
-use crate::state::placement::START_DELAY_MEMORY;
+use crate::state::placement::START_DELAY_TIME_CONSTANT_US;
 
 /// Weight of a run time extrapolated from progress, scaled by the fraction that is done.
 const PROGRESS_WEIGHT: f64 = 0.5;
@@ -58,13 +58,13 @@
             worker.bookings.start(need, now);
         }
         worker.timing.head_of_line_wait = 0.0;
-        let min_delay = self.min_start_delay.entry(worker.listed.zone).or_insert(started.delay);
+        let min_delay = self.min_start_delay.entry(worker.endpoint.zone).or_insert(started.delay);
         *min_delay = (*min_delay + *min_delay / MIN_START_DELAY_GROWTH_DIVISOR + 1).min(started.delay);
         let delay = started.delay as f64;
-        worker.timing.start_delay.add(delay, 1.0, now, START_DELAY_MEMORY);
+        worker.timing.start_delay.add(delay, 1.0, now, START_DELAY_TIME_CONSTANT_US);
         if started.booked_before == 0.0 {
             let tier = &mut self.placement.start_delays[worker.locality_tier];
-            tier.add(delay, 1.0, now, START_DELAY_MEMORY);
+            tier.add(delay, 1.0, now, START_DELAY_TIME_CONSTANT_US);
         }
         let is_immediate = started.delay <= self.prices.tick / 8;
         let evidence = if is_immediate { StartEvidence::Immediate } else { StartEvidence::Delayed };
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -177,7 +177,7 @@
                     if checked_for.insert(id) {
                         let worker = &mut self.workers[index];
                         worker.health.checked_at = self.now;
-                        out.push(Action::HealthCheck(worker.listed.worker));
+                        out.push(Action::HealthCheck(worker.endpoint.worker));
                     }
                 }
                 CapacityFreshness::CheckPending => {}
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -130,7 +130,7 @@
         worker.health.reset_is_only_sign = true;
         if self.settings.limits.health_checks_allowed {
             worker.health.checked_at = self.now;
-            out.push(Action::HealthCheck(worker.listed.worker));
+            out.push(Action::HealthCheck(worker.endpoint.worker));
         }
     }
 
@@ -143,7 +143,7 @@
         }
         let any_in_flight = job.any_in_flight();
         let limits = &self.settings.limits;
-        let may_retry = job.is_repeatable(self.now)
+        let may_retry = job.is_retryable(self.now)
             && job.attempts.len() < limits.max_attempts as usize
             && (!any_in_flight || limits.hedged_requests);
         if may_retry {
--- a/src/decisions/send.rs
+++ b/src/decisions/send.rs
@@ -49,7 +49,7 @@
         if let Some(key) = job.key {
             worker.remember_key(key);
         }
-        out.push(Action::Send { job: id, worker: worker.listed.worker, timeout: 0 });
+        out.push(Action::Send { job: id, worker: worker.endpoint.worker, timeout: 0 });
         if self.may_migrate(&self.jobs.by_id[&id]) {
             out.push(Action::Timer { delay: start_timeout, token: MIGRATION_TOKEN });
         }
@@ -58,7 +58,7 @@
     /// How long an attempt may go without a start, in microseconds: a multiple of the minimum start delay in
     /// its zone, longer on a new connection.
     fn start_timeout(&self, worker: &Worker) -> Micros {
-        let min_delay = self.min_start_delay.get(&worker.listed.zone).copied();
+        let min_delay = self.min_start_delay.get(&worker.endpoint.zone).copied();
         let min_delay = min_delay.unwrap_or(self.prices.tick / 8) as f64;
         let is_new_connection = worker.connections.idle_since.is_empty();
         let multiple =
--- a/src/decisions/send_guard.rs
+++ b/src/decisions/send_guard.rs
@@ -49,7 +49,8 @@
     fn is_eligible(&self, job: &Job, worker: &Worker) -> bool {
         let kind = self.settings.classes[job.class].kind;
         let needs_response = self.discovery.unconfirmed && job.idempotency == Idempotency::NonIdempotent;
-        kind.is_none_or(|kind| kind == worker.listed.kind) && !(needs_response && worker.health.is_ejected())
+        kind.is_none_or(|kind| kind == worker.endpoint.kind)
+            && !(needs_response && worker.health.is_ejected())
     }
 
     /// Whether an attempt here may start beside those in flight: only where hedged requests are allowed, and
@@ -69,7 +70,7 @@
                 // The repeat must arrive while the workers in the key's scope still remember the key.
                 let in_window = self.now - first_run.sent_at < window - REPEAT_ARRIVAL_MARGIN;
                 let shares_keys = |attempt: &Attempt| {
-                    scope.shares_keys(&self.workers[attempt.worker].listed, &worker.listed)
+                    scope.shares_keys(&self.workers[attempt.worker].endpoint, &worker.endpoint)
                 };
                 in_window && job.possible_runs().all(shares_keys)
             }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -65,7 +65,7 @@
         let fleet_size = self.settings.fleet_size;
         let senders = self.slow_start_senders(worker);
         let relative_traffic = self.arrivals.relative_to_quotas(&self.settings, self.now);
-        let id = mix_bits(worker.listed.worker.0);
+        let id = mix_bits(worker.endpoint.worker.0);
         let window = self.settings.safety.overload_window.max(1);
         let rotates = fleet_size >= MIN_FLEET_FOR_ROTATION;
         let period = if rotates { ROTATION_PERIOD_WINDOWS * window } else { Micros::MAX / 4 };
--- a/src/decisions/snapshots.rs
+++ b/src/decisions/snapshots.rs
@@ -2,7 +2,7 @@
 //! trial job.
 
 use crate::dispatcher::Dispatcher;
-use crate::state::placement::START_DELAY_MEMORY;
+use crate::state::placement::START_DELAY_TIME_CONSTANT_US;
 use crate::state::resources::{MEMORY, RESOURCES, SLOT};
 use crate::state::workers::{Worker, WorkerSnapshot};
 
@@ -43,10 +43,10 @@
         if !is_healthy {
             free[SLOT] = free[SLOT].min(1.0);
         }
-        let zone_cost = if worker.listed.zone == self.settings.zone { 0.0 } else { costs.cross_zone };
+        let zone_cost = if worker.endpoint.zone == self.settings.zone { 0.0 } else { costs.cross_zone };
         let connection_cost = if worker.connections.idle_since.is_empty() { costs.handshake } else { 0.0 };
         let tier_delay = pass.start_delays[worker.locality_tier];
-        let start_delay = worker.timing.start_delay.pooled(tier_delay, now, START_DELAY_MEMORY);
+        let start_delay = worker.timing.start_delay.pooled(tier_delay, now, START_DELAY_TIME_CONSTANT_US);
         WorkerSnapshot {
             run_time_per_work: self.slowdown.run_time_per_work(worker, now),
             start_delay: start_delay.max(worker.timing.head_of_line_wait),
--- a/src/settings/ids_by_name.rs
+++ b/src/settings/ids_by_name.rs
@@ -12,8 +12,8 @@
     }
 
     /// Returns the id of a name. A new name is added with the next id.
-    pub fn id(&mut self, name: &str) -> u32 {
-        if let Some(id) = self.known(name) {
+    pub fn get_or_insert(&mut self, name: &str) -> u32 {
+        if let Some(id) = self.get(name) {
             return id;
         }
         self.0.push(name.to_owned());
@@ -29,7 +29,7 @@
     /// Returns the id of a name, if it has one. A site has few names of each kind, so a linear scan is
     /// fastest.
     #[must_use]
-    pub fn known(&self, name: &str) -> Option<u32> {
+    pub fn get(&self, name: &str) -> Option<u32> {
         self.0.iter().position(|other| other == name).map(|index| index as u32)
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,7 +13,7 @@
 
 /// Converts seconds, as used in JSON, to microseconds.
 #[must_use]
-pub fn micros(seconds: f64) -> Micros {
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round() as Micros
 }
 
@@ -26,7 +26,7 @@
 /// Unlike the standard library's hashers, it returns the same value in every process. It is not resistant to
 /// chosen collisions.
 #[must_use]
-pub fn fnv(bytes: &[u8]) -> u64 {
+pub fn fnv1a(bytes: &[u8]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for byte in bytes {
         hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -1,7 +1,7 @@
 //! Conversion of [`Options`] into [`Settings`].
 
 use super::ids_by_name::IdsByName;
-use super::micros;
+use super::micros_from_seconds;
 use super::options::{self, Lane, Options, WorkerReport};
 use crate::api::{
     Class, Costs, DEFAULT_LIST_CALL_TIME, Idempotency, KeyScope, KindId, Limits, LoadReport, RetryBudget,
@@ -92,7 +92,7 @@
             free_memory: self.free_memory.read(report),
             delayed: true,
             utilization: report.util,
-            service_time: report.latency_ms.map(|milliseconds| micros(milliseconds / 1e3)),
+            service_time: report.latency_ms.map(|milliseconds| micros_from_seconds(milliseconds / 1e3)),
         }
     }
 }
@@ -104,7 +104,7 @@
     /// Returns [`OptionsError`] if a lane has an unknown `effect` or `keyScope`.
     pub fn site(&self) -> Result<Site, OptionsError> {
         let mut zones = IdsByName::new(self.zones.clone());
-        let zone = ZoneId(zones.id(&self.zone) as u16);
+        let zone = ZoneId(zones.get_or_insert(&self.zone) as u16);
         let class_names = self.lanes.iter().map(|lane| lane.name.clone()).collect();
         let tenant_names = self.parties.iter().map(|party| party.name.clone()).collect();
         Ok(Site {
@@ -138,8 +138,8 @@
             list_unconfirmed: false,
             units_fall_with_load: self.weight_kind == "live",
             reports_start: self.family_info.tells_start,
-            progress_interval: micros(self.family_info.progress_s),
-            tick: micros(self.tick_s),
+            progress_interval: micros_from_seconds(self.family_info.progress_s),
+            tick: micros_from_seconds(self.tick_s),
             limits: limits(&self.limits),
             costs: costs(&self.costs),
             safety: safety(&self.safety),
@@ -162,9 +162,9 @@
         Ok(Class {
             priority_weight: lane.worth,
             late_answer_fraction: lane.late_value,
-            latency_objective: micros(lane.promise_s),
+            latency_objective: micros_from_seconds(lane.promise_s),
             objective_per_work: lane.aim_stretch.or(family_stretch).unwrap_or(0.0),
-            client_timeout: micros(lane.give_up_s),
+            client_timeout: micros_from_seconds(lane.give_up_s),
             idempotency: idempotency(lane)?,
             streaming: lane.streaming,
             kind: required_kind.map(KindId),
@@ -178,7 +178,7 @@
         "unsafe" => Ok(Idempotency::NonIdempotent),
         "keyed" => {
             let scope = key_scope(lane)?;
-            Ok(Idempotency::IdempotencyKey { scope, window: micros(lane.window_s) })
+            Ok(Idempotency::IdempotencyKey { scope, window: micros_from_seconds(lane.window_s) })
         }
         other => Err(OptionsError::UnknownEffect { lane: lane.name.clone(), value: other.to_owned() }),
     }
@@ -199,11 +199,11 @@
         health_checks_allowed: limits.may_probe,
         hedged_requests: limits.second_copies,
         max_attempts: limits.send_cap.unwrap_or(1),
-        idle_timeout: micros(limits.conn_idle_s),
-        connect_timeout: micros(limits.connect_timeout_s),
+        idle_timeout: micros_from_seconds(limits.conn_idle_s),
+        connect_timeout: micros_from_seconds(limits.connect_timeout_s),
         max_streams: limits.max_streams.unwrap_or(1),
         retry_after: limits.retry_after,
-        max_retry_after: micros(limits.max_retry_after_s),
+        max_retry_after: micros_from_seconds(limits.max_retry_after_s),
     }
 }
 
@@ -222,17 +222,17 @@
     let retry_budget = safety.counted_over_s.map(|window_s| RetryBudget {
         min_retries: safety.extra_floor.unwrap_or(0.0),
         ratio: safety.repeat_ratio.unwrap_or(0.0),
-        window: micros(window_s),
+        window: micros_from_seconds(window_s),
     });
     Safety {
-        answer_grace: micros(safety.grace_to_answer_s),
-        poll_interval: micros(safety.ask_within_s),
+        answer_grace: micros_from_seconds(safety.grace_to_answer_s),
+        poll_interval: micros_from_seconds(safety.ask_within_s),
         initial_capacity_fraction: safety.cold_share.unwrap_or(1.0),
-        slow_start_window: micros(safety.cold_s),
+        slow_start_window: micros_from_seconds(safety.cold_s),
         overload_multiple: safety.fall_multiple.unwrap_or(1.0),
-        overload_window: micros(safety.fall_s),
+        overload_window: micros_from_seconds(safety.fall_s),
         retry_budget,
-        drain_close_timeout: safety.release_within_s.map(micros),
+        drain_close_timeout: safety.release_within_s.map(micros_from_seconds),
         rejection_may_have_run: safety.full_unproven,
     }
 }
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -57,7 +57,7 @@
     pub(crate) cached_on: [Option<usize>; 2],
     pub(crate) arrived_at: Micros,
     /// When the client made its own first attempt, as far as known.
-    pub(crate) first_asked_at: Micros,
+    pub(crate) client_first_attempt_at: Micros,
     pub(crate) deadline: Micros,
     /// Priority weight as a multiple of the mean priority weight.
     pub(crate) relative_weight: f64,
@@ -76,7 +76,7 @@
     }
 
     /// Whether its idempotency allows another attempt after the earlier ones.
-    pub(crate) fn is_repeatable(&self, now: Micros) -> bool {
+    pub(crate) fn is_retryable(&self, now: Micros) -> bool {
         let Some(first_run) = self.possible_runs().next() else { return true };
         match self.idempotency {
             Idempotency::Idempotent => true,
--- a/src/state/placement.rs
+++ b/src/state/placement.rs
@@ -6,7 +6,7 @@
 use crate::api::{KeyId, Micros};
 
 /// Time constant with which start delays decay, in microseconds.
-pub(crate) const START_DELAY_MEMORY: f64 = 4e6;
+pub(crate) const START_DELAY_TIME_CONSTANT_US: f64 = 4e6;
 
 /// Index of the workers of this dispatcher's zone in [`Placement::order`].
 pub(crate) const LOCAL: usize = 0;
@@ -83,7 +83,7 @@
         let start_delays = self.start_delays.each_ref();
         self.pass = PassConditions {
             mean_run_time,
-            start_delays: start_delays.map(|delay| delay.pooled(0.0, now, START_DELAY_MEMORY)),
+            start_delays: start_delays.map(|delay| delay.pooled(0.0, now, START_DELAY_TIME_CONSTANT_US)),
         };
     }
 }
--- a/src/state/prices.rs
+++ b/src/state/prices.rs
@@ -5,14 +5,14 @@
 use std::collections::VecDeque;
 
 /// Price horizon in ticks. Longer runs are priced as if they ended there.
-pub(crate) const HORIZON: usize = 16;
+pub(crate) const HORIZON_TICKS: usize = 16;
 /// Length of the payoff window in ticks. When its end is reached, a new window of this length begins.
-pub(crate) const WINDOW: f64 = 256.0;
+pub(crate) const PAYOFF_WINDOW_TICKS: f64 = 256.0;
 /// Number of columns kept, enough to span several turnovers of the capacity of a small fleet.
 const MAX_HISTORY_COLUMNS: usize = 64;
 
 /// A value per resource and tick of the horizon.
-pub(crate) type ResourceTimeline = [[f64; HORIZON]; 2];
+pub(crate) type ResourceTimeline = [[f64; HORIZON_TICKS]; 2];
 
 /// Adds a column to a timeline: `need` for `ticks` ticks, starting at tick `from`.
 pub(crate) fn add_column(timeline: &mut ResourceTimeline, need: [f64; 2], from: usize, ticks: f64) {
@@ -40,7 +40,7 @@
 pub(crate) struct WorkerPrices {
     pub(crate) price: ResourceTimeline,
     /// Prefix sums of `price`.
-    price_sums: [[f64; HORIZON + 1]; 2],
+    price_sums: [[f64; HORIZON_TICKS + 1]; 2],
     /// Residual capacity over the horizon, as of the last price update.
     pub(crate) residual: ResourceTimeline,
     /// Demand of the sampled columns since the last gradient step.
@@ -51,7 +51,7 @@
     pub(crate) fn new(price: ResourceTimeline) -> WorkerPrices {
         let mut prices = WorkerPrices {
             price,
-            price_sums: [[0.0; HORIZON + 1]; 2],
+            price_sums: [[0.0; HORIZON_TICKS + 1]; 2],
             residual: ResourceTimeline::default(),
             used: ResourceTimeline::default(),
         };
@@ -61,7 +61,7 @@
 
     /// Whether any price is above 0.
     pub(crate) fn has_prices(&self) -> bool {
-        self.price_sums.iter().any(|sums| sums[HORIZON] > 0.0)
+        self.price_sums.iter().any(|sums| sums[HORIZON_TICKS] > 0.0)
     }
 
     /// Price of `need` for `ticks` ticks, starting at tick `from`.
@@ -74,7 +74,7 @@
 
     /// Price of one unit of a resource for `ticks` ticks, starting at tick `from`.
     fn unit_cost(&self, resource: usize, from: usize, ticks: f64) -> f64 {
-        let end = (from as f64 + ticks).min(HORIZON as f64);
+        let end = (from as f64 + ticks).min(HORIZON_TICKS as f64);
         let whole_ticks = end as usize;
         let fraction = end.fract();
         let last_tick = if fraction > 0.0 { fraction * self.price[resource][whole_ticks] } else { 0.0 };
@@ -85,8 +85,8 @@
     pub(crate) fn advance(&mut self, ticks: usize) {
         for price in &mut self.price {
             price.rotate_left(ticks);
-            let last = price[HORIZON - 1 - ticks];
-            price[HORIZON - ticks..].fill(last);
+            let last = price[HORIZON_TICKS - 1 - ticks];
+            price[HORIZON_TICKS - ticks..].fill(last);
         }
         self.update_price_sums();
     }
@@ -94,7 +94,7 @@
     /// Recomputes the prefix sums; required after each change of `price`.
     pub(crate) fn update_price_sums(&mut self) {
         for (price, sums) in self.price.iter().zip(self.price_sums.iter_mut()) {
-            for tick in 0..HORIZON {
+            for tick in 0..HORIZON_TICKS {
                 sums[tick + 1] = sums[tick] + price[tick];
             }
         }
@@ -106,7 +106,7 @@
     pub(crate) fn take_gradient_step(&mut self, totals: [f64; 2], step: &GradientStep) {
         for resource in RESOURCES {
             let unit = step.expected_starts / totals[resource].max(1.0);
-            for tick in 0..HORIZON {
+            for tick in 0..HORIZON_TICKS {
                 let supply = self.residual[resource][tick].max(0.0) / step.expected_starts;
                 let gradient = supply - self.used[resource][tick] / step.columns;
                 let change = step.rate * (gradient * unit).clamp(-1.0, 1.0);
@@ -160,16 +160,16 @@
     pub(crate) fn start(&mut self, now: Micros) {
         self.first_tick = now / self.tick;
         self.updated_at = now - self.tick;
-        self.window_end = (now / self.tick) as f64 + WINDOW;
+        self.window_end = (now / self.tick) as f64 + PAYOFF_WINDOW_TICKS;
     }
 
     /// Advances to the current tick; returns the number of ticks of the horizon that have passed.
     pub(crate) fn advance(&mut self, now: Micros) -> usize {
         let tick = now / self.tick;
-        let passed = (tick - self.first_tick).clamp(0, HORIZON as Micros - 1) as usize;
+        let passed = (tick - self.first_tick).clamp(0, HORIZON_TICKS as Micros - 1) as usize;
         self.first_tick = tick;
         if tick as f64 >= self.window_end {
-            self.window_end = tick as f64 + WINDOW;
+            self.window_end = tick as f64 + PAYOFF_WINDOW_TICKS;
         }
         passed
     }
--- a/src/state/run_times.rs
+++ b/src/state/run_times.rs
@@ -82,7 +82,7 @@
 
     /// Time since the client's first attempt, in microseconds, when a job with this budget arrives. Each
     /// retry of a client comes with a smaller budget, so the difference to the longest budget has been spent.
-    pub(crate) fn time_already_spent(&mut self, class: usize, budget: Micros) -> Micros {
+    pub(crate) fn time_since_first_attempt(&mut self, class: usize, budget: Micros) -> Micros {
         let longest = &mut self.classes[class].longest_budget;
         *longest = (*longest).max(budget);
         if budget > *longest / 2 { *longest - budget } else { 0 }
@@ -121,8 +121,12 @@
     /// Log slowdown of a worker: the mean of its samples with the mean of its kind as the prior, which in
     /// turn has that of the fleet as the prior.
     pub(crate) fn of_worker(&self, worker: &Worker, now: Micros) -> f64 {
-        let kind = self.kind_means.get(&worker.listed.kind).copied().unwrap_or(0.0);
-        worker.timing.log_slowdown.pooled(kind, now, WORKER_TIME_CONSTANT_US).max(worker.timing.overrun)
+        let kind = self.kind_means.get(&worker.endpoint.kind).copied().unwrap_or(0.0);
+        worker
+            .timing
+            .log_slowdown
+            .pooled(kind, now, WORKER_TIME_CONSTANT_US)
+            .max(worker.timing.min_log_slowdown)
     }
 
     /// Run time in microseconds of one second of work at a worker.
@@ -147,7 +151,7 @@
         let log = log.clamp(current - MAX_LOG_DEVIATION, current + MAX_LOG_DEVIATION);
         let weight = if sample.hinted { sample.weight } else { UNHINTED_SAMPLE_WEIGHT * sample.weight };
         worker.timing.log_slowdown.add(log, weight, now, WORKER_TIME_CONSTANT_US);
-        let kind = self.kinds.entry(worker.listed.kind).or_default();
+        let kind = self.kinds.entry(worker.endpoint.kind).or_default();
         kind.add(log, weight, now, KIND_TIME_CONSTANT_US);
         self.fleet.add(log, weight, now, KIND_TIME_CONSTANT_US);
     }
--- a/src/state/sequence.rs
+++ b/src/state/sequence.rs
@@ -1,6 +1,6 @@
 //! A low-discrepancy order of all dispatchers, and a hash for ids.
 
-use roselock_discovery_client::poll_schedule::GOLDEN_RATIO;
+use roselock_discovery_client::poll_schedule::GOLDEN_RATIO_CONJUGATE;
 
 /// Hashes an id with the finaliser of SplitMix64.
 pub(crate) fn mix_bits(id: u64) -> u64 {
@@ -26,7 +26,7 @@
 pub(crate) fn sequence_position(index: u32, fleet_size: u32) -> u64 {
     let index = u64::from(index);
     let fleet_size = u64::from(fleet_size.max(1));
-    let golden_section = ((fleet_size as f64 * GOLDEN_RATIO) as u64).max(1);
+    let golden_section = ((fleet_size as f64 * GOLDEN_RATIO_CONJUGATE) as u64).max(1);
     let mut steps = golden_section..=fleet_size;
     let step = steps.find(|step| are_coprime(*step, fleet_size)).unwrap_or(1);
     index % fleet_size * step % fleet_size
--- a/src/state/workers.rs
+++ b/src/state/workers.rs
@@ -87,7 +87,7 @@
     /// log(run time / work).
     pub(crate) log_slowdown: DecayingMean,
     /// Lower bound of the log slowdown, from this dispatcher's jobs that exceed their expected run time.
-    pub(crate) overrun: f64,
+    pub(crate) min_log_slowdown: f64,
     /// Longest time for which a job of this dispatcher has waited at the worker for its start, in
     /// microseconds.
     pub(crate) head_of_line_wait: f64,
@@ -102,7 +102,7 @@
 
     /// Resets the overrun and the wait after the end of an attempt: they don't apply to later jobs.
     pub(crate) fn attempt_ended(&mut self) {
-        self.overrun = f64::NEG_INFINITY;
+        self.min_log_slowdown = f64::NEG_INFINITY;
         self.head_of_line_wait = 0.0;
     }
 }
@@ -151,7 +151,7 @@
 #[repr(C)]
 pub(crate) struct Worker {
     /// Its entry in the endpoint list.
-    pub(crate) listed: Endpoint,
+    pub(crate) endpoint: Endpoint,
     /// When its process started, on this dispatcher's clock; `None` means long ago.
     pub(crate) started_at: Option<Micros>,
     pub(crate) ready: bool,
@@ -186,7 +186,7 @@
 impl Worker {
     pub(crate) fn new(endpoint: &Endpoint, initial: InitialEstimates, now: Micros) -> Worker {
         Worker {
-            listed: endpoint.clone(),
+            endpoint: endpoint.clone(),
             started_at: endpoint.started_at.map(|started_at| started_at.min(now)),
             ready: endpoint.state == EndpointState::Ready,
             max_units: endpoint.units,
@@ -195,7 +195,7 @@
             timing: RunTiming {
                 start_delay: DecayingMean::default(),
                 log_slowdown: DecayingMean::default(),
-                overrun: f64::NEG_INFINITY,
+                min_log_slowdown: f64::NEG_INFINITY,
                 head_of_line_wait: 0.0,
             },
             health: Health::new(now),
@@ -268,10 +268,10 @@
     /// the idle worker divided by 1 + the requests held per core, and each core counts as one of `total`
     /// slots.
     pub(crate) fn apply_listed_units(&mut self, total: f64, now: Micros) {
-        self.max_units = self.max_units.max(self.listed.units);
+        self.max_units = self.max_units.max(self.endpoint.units);
         let slots = &mut self.capacity[SLOT];
         slots.total = slots.total.max(total);
-        let held = self.max_units / self.listed.units.max(f64::MIN_POSITIVE) - 1.0;
+        let held = self.max_units / self.endpoint.units.max(f64::MIN_POSITIVE) - 1.0;
         let free = (slots.total * (1.0 - held)).round().max(0.0);
         slots.record(self.bookings.running[SLOT], free, now);
         self.changed = true;
