--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -92,7 +92,7 @@
         Ok(Some(translated))
     }
 
-    /// Translates an endpoint list. Mode `X` means that the call to discovery failed.
+    /// Translates an endpoint list. Mode `X` means that the call to the discovery service failed.
     fn endpoint_list(
         &mut self,
         now: Micros,
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -54,7 +54,7 @@
     let text = replies(&output);
     let lines: Vec<_> = text.lines().collect();
     assert_eq!(lines.len(), 3);
-    // The dispatcher calls discovery at its position in the poll round.
+    // The dispatcher calls the discovery service at its position in the poll round.
     assert!(lines[0].contains(",2199023255552]"), "{}", lines[0]);
     assert!(lines[1].contains(r#"["watch",true]"#), "{}", lines[1]);
     assert!(lines[1].contains(r#"["callOut",31,"10.0.0."#), "{}", lines[1]);
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -41,7 +41,7 @@
     pub cluster_unhealthy: AtomicU64,
     /// The [`StartupStage`], as its number.
     stage: AtomicU8,
-    /// Number of calls to the list service.
+    /// Number of calls to the discovery service.
     list_calls: AtomicU64,
     /// Number of these calls that failed.
     failed_list_calls: AtomicU64,
--- a/crates/backlog/src/completion.rs
+++ b/crates/backlog/src/completion.rs
@@ -6,7 +6,7 @@
 use crate::{BACKOFF_RANGE_US, Backlog, ClientNo, JobNo, Micros};
 
 impl<W, P> Backlog<W, P> {
-    /// Handles the decision module's result for a released job. Returns `None` if the job has been cancelled, or its
+    /// Handles the decision logic's result for a released job. Returns `None` if the job has been cancelled, or its
     /// clients have disconnected, in the meantime.
     ///
     /// `attempts_run` is the number of attempts of this release that may have run; `is_repeatable` says whether it is
--- a/crates/backlog/src/job.rs
+++ b/crates/backlog/src/job.rs
@@ -10,7 +10,7 @@
     Scheduled,
     /// It waits in a queue of its function.
     Queued,
-    /// It has been released to the decision module under this stream.
+    /// It has been released to the decision logic under this stream.
     Released(u32),
 }
 
@@ -82,7 +82,7 @@
     pub payload: Arc<P>,
 }
 
-/// A job that is released to the decision module.
+/// A job that is released to the decision logic.
 pub struct Released<P> {
     /// Its number.
     pub no: JobNo,
@@ -98,7 +98,7 @@
     pub payload: Arc<P>,
 }
 
-/// The decision module's result for a released job.
+/// The decision logic's result for a released job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// A worker has returned a result.
--- a/crates/backlog/src/lib.rs
+++ b/crates/backlog/src/lib.rs
@@ -1,7 +1,7 @@
 //! The backlog of submitted jobs that have not ended.
 //!
 //! A [`Backlog`] holds the jobs of many functions in bounded queues by priority, joins submissions with the same
-//! unique id, holds scheduled jobs until they are due, and releases the oldest jobs to the decision module at the rate
+//! unique id, holds scheduled jobs until they are due, and releases the oldest jobs to the decision logic at the rate
 //! at which workers can take them. It also queues rejected jobs again. It decides neither where a job runs nor whether
 //! an attempt is repeated. It uses no I/O, clock or random source: times are passed as arguments, in microseconds.
 //! `now` is the time on a monotonic clock, `wall` the time on the wall clock, which may step forwards or backwards.
--- a/crates/backlog/src/release.rs
+++ b/crates/backlog/src/release.rs
@@ -1,4 +1,4 @@
-//! Release of jobs to the decision module: within a function by priority and then by age, and among functions by fair
+//! Release of jobs to the decision logic: within a function by priority and then by age, and among functions by fair
 //! queuing of their releases.
 
 use crate::job::{Job, QueueEntry, Released, State};
--- a/crates/backlog/tests/state_machine_trace.rs
+++ b/crates/backlog/tests/state_machine_trace.rs
@@ -20,7 +20,7 @@
 /// Number of client connections.
 const CLIENT_COUNT: u32 = 6;
 
-/// A job that is released to the decision module.
+/// A job that is released to the decision logic.
 #[derive(Clone, Copy)]
 struct ReleasedJob {
     no: JobNo,
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -55,7 +55,7 @@
         /// The simulated time at which the simulation ended.
         at: Micros,
     },
-    /// The decision module rejected its settings.
+    /// The decision logic rejected its settings.
     #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
     /// A chart could not be drawn.
--- a/crates/capacity/src/experiment/rate.rs
+++ b/crates/capacity/src/experiment/rate.rs
@@ -1,4 +1,4 @@
-//! The cost of the decision module by the request rate of one dispatcher, at the target number of workers.
+//! The cost of the decision logic by the request rate of one dispatcher, at the target number of workers.
 
 use super::Experiment;
 use super::interval::Interval;
--- a/crates/capacity/src/experiment/running.rs
+++ b/crates/capacity/src/experiment/running.rs
@@ -1,4 +1,4 @@
-//! The cost of the decision module by the number of running tasks of one dispatcher, each of which reports its progress every
+//! The cost of the decision logic by the number of running tasks of one dispatcher, each of which reports its progress every
 //! second.
 
 use super::Experiment;
--- a/crates/capacity/src/experiment/slow_start.rs
+++ b/crates/capacity/src/experiment/slow_start.rs
@@ -1,4 +1,4 @@
-//! The cost of the decision module by the number of workers that have all just started, as after a power cut.
+//! The cost of the decision logic by the number of workers that have all just started, as after a power cut.
 
 use super::interval::Interval;
 use super::{Experiment, MAX_WORKERS, WORKER_COUNTS};
--- a/crates/capacity/src/experiment/teams.rs
+++ b/crates/capacity/src/experiment/teams.rs
@@ -1,4 +1,4 @@
-//! The cost of the decision module and of its settings by the number of teams with quotas.
+//! The cost of the decision logic and of its settings by the number of teams with quotas.
 
 use super::interval::Interval;
 use super::{Experiment, slow_start};
--- a/crates/capacity/src/experiment/workers.rs
+++ b/crates/capacity/src/experiment/workers.rs
@@ -1,4 +1,4 @@
-//! The cost of the decision module by the number of workers: memory, idle operation, changes of the endpoint list, requests.
+//! The cost of the decision logic by the number of workers: memory, idle operation, changes of the endpoint list, requests.
 
 use super::interval::Interval;
 use super::{Experiment, MAX_WORKERS, WORKER_COUNTS};
--- a/crates/capacity/src/simulated_dispatcher.rs
+++ b/crates/capacity/src/simulated_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Simulates a dispatcher: the decision module with its timers, clients and workers in simulated time.
+//! Simulates a dispatcher: the decision logic with its timers, clients and workers in simulated time.
 
 use crate::error::CapacityError;
 use crate::meter::{ResourceUsage, measure};
@@ -37,11 +37,11 @@
 /// Counters of a simulated dispatcher since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Steps of the decision module.
+    /// Steps of the decision logic.
     pub steps: u64,
-    /// Events passed to the decision module.
+    /// Events passed to the decision logic.
     pub events: u64,
-    /// Actions that the decision module returned.
+    /// Actions that the decision logic returned.
     pub actions: u64,
     /// Timers that the actions set.
     pub timers: u64,
@@ -120,7 +120,7 @@
     waiting: VecDeque<AttemptId>,
 }
 
-/// The decision module with its clock, clients, workers and discovery service.
+/// The decision logic with its clock, clients, workers and discovery service.
 pub struct SimulatedDispatcher {
     site: Site,
     dispatcher: Dispatcher,
@@ -166,7 +166,7 @@
         })
     }
 
-    /// A dispatcher that has polled discovery and received its endpoint list.
+    /// A dispatcher that has polled the discovery service and received its endpoint list.
     ///
     /// # Errors
     /// As [`SimulatedDispatcher::new`] and [`SimulatedDispatcher::step`]; [`CapacityError::StateNotReached`] if it did not poll in
@@ -201,7 +201,7 @@
         &self.urgent_waits
     }
 
-    /// The decision module.
+    /// The decision logic.
     pub fn dispatcher(&mut self) -> &mut Dispatcher {
         &mut self.dispatcher
     }
@@ -218,7 +218,7 @@
         self.load = None;
     }
 
-    /// Passes events to the decision module at the current time; returns the resources used.
+    /// Passes events to the decision logic at the current time; returns the resources used.
     ///
     /// # Errors
     /// [`CapacityError::ProcessorTime`] if the processor time cannot be read.
@@ -282,7 +282,7 @@
         self.queue.push(Reverse((at, self.scheduled_count, event)));
     }
 
-    /// Handles a scheduled event; returns the event for the decision module, if any.
+    /// Handles a scheduled event; returns the event for the decision logic, if any.
     fn handle(&mut self, event: ScheduledEvent) -> Option<Event> {
         match event {
             ScheduledEvent::Timer(token) => Some(Event::TimerFired(token)),
@@ -378,7 +378,7 @@
         Some(Event::AttemptEnded { job: JobId(id.job), attempt: id.attempt, outcome, concluded, report })
     }
 
-    /// Performs an action of the decision module.
+    /// Performs an action of the decision logic.
     fn perform(&mut self, action: &Action) {
         match action {
             Action::Timer { delay, token } => {
--- a/crates/discovery-client/examples/poll_schedule.rs
+++ b/crates/discovery-client/examples/poll_schedule.rs
@@ -1,5 +1,5 @@
-//! Simulates dispatchers that start in the same second and call a list service that serves one call at a time, and prints a
-//! table: `cargo run --release -p roselock-discovery-client --example poll_schedule`.
+//! Simulates dispatchers that start in the same second and call a discovery service that serves one call at a time, and
+//! prints a table: `cargo run --release -p roselock-discovery-client --example poll_schedule`.
 
 use oorandom::Rand64;
 use roselock_discovery_client::poll_schedule::{
--- a/crates/discovery-client/src/lease.rs
+++ b/crates/discovery-client/src/lease.rs
@@ -1,28 +1,28 @@
-//! The lease on the endpoint list: how long the list may be acted on without contact with the list service (C. Gray and
+//! The lease on the endpoint list: how long the list may be acted on without contact with the discovery service (C. Gray and
 //! D. Cheriton, *Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency*, 1989). An open
 //! watch renews it.
 //!
-//! While the list service can be reached, a change that it knows counts as notified after a fixed time, received or not. A
-//! dispatcher that was out of contact for that long might send to a worker that is draining or gone, so it sends no new
-//! requests while the lease is expired. The lease is renewed by a watch event, or by a call that shows that the list service
-//! cannot be reached: an outage of the list service must not stop the work.
+//! While the discovery service can be reached, a change that it knows counts as notified after a fixed time, received or not.
+//! A dispatcher that was out of contact for that long might send to a worker that is draining or gone, so it sends no new
+//! requests while the lease is expired. The lease is renewed by a watch event, or by a call that shows that the discovery
+//! service cannot be reached: an outage of the discovery service must not stop the work.
 
 use crate::poll_schedule::{
     EXPECTED_CALL_TIME, Micros, NOTIFICATION_DEADLINE, WATCH_TIMEOUT, WatchEnd, WatchEndReason,
 };
 
-/// Time from a move of the list service until the changes that it knows count as notified, in microseconds.
+/// Time from a move of the discovery service until the changes that it knows count as notified, in microseconds.
 const NOTIFICATION_DEADLINE_AFTER_MOVE: Micros = 4_000_000;
 /// Connect timeouts up to this long, in microseconds, don't shorten the lease term. A change that counts as notified must be
 /// respected 0.5 s later; this is less by the 0.15 s for which a dispatcher may be delayed before it writes, and by a margin.
 const CONNECT_SLACK: Micros = 300_000;
-/// Weight of a refused call, or of a failed connection attempt, as evidence that the list service cannot be reached.
+/// Weight of a refused call, or of a failed connection attempt, as evidence that the discovery service cannot be reached.
 const REFUSAL_EVIDENCE: u8 = 2;
-/// Weight of a call without a response, as evidence that the list service cannot be reached.
+/// Weight of a call without a response, as evidence that the discovery service cannot be reached.
 const TIMEOUT_EVIDENCE: u8 = 1;
 /// Evidence required before a list that was never confirmed is acted on.
 const REQUIRED_EVIDENCE_AT_START: u8 = 2;
-/// Evidence required before a list that was not confirmed since a move of the list service is acted on.
+/// Evidence required before a list that was not confirmed since a move of the discovery service is acted on.
 const REQUIRED_EVIDENCE_AFTER_MOVE: u8 = 4;
 
 /// The lease on the endpoint list.
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The same, but the cached list may be acted on, with care, until the list service has answered.
+    /// The same, but the cached list may be acted on, with care, until the discovery service has answered.
     #[must_use]
     pub fn trusted(connect_timeout: Micros) -> ListLease {
         ListLease { expires_at: Micros::MAX, required_evidence: 0, ..ListLease::unconfirmed(connect_timeout) }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Records that the operators moved the list service at `now`.
+    /// Records that the operators moved the discovery service at `now`.
     pub fn discovery_moved(&mut self, now: Micros) {
         if self.term.is_some() {
             self.expires_at = self.expires_at.min(now + NOTIFICATION_DEADLINE_AFTER_MOVE);
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,8 +1,8 @@
 //! The client side of discovery. It has no I/O, clock or random number generator: times and random numbers are arguments, so
 //! the dispatcher and the simulations use the same code.
 //!
-//! - [`poll_schedule`] determines when a dispatcher calls the list service. Hundreds of dispatchers may start in the same
-//!   second and don't coordinate.
+//! - [`poll_schedule`] determines when a dispatcher calls the discovery service. Hundreds of dispatchers may start in the
+//!   same second and don't coordinate.
 //! - [`lease`] determines how long an endpoint list may be acted on.
 //! - [`startup_stage`] tracks the startup, for operators.
 
--- a/crates/discovery-client/src/poll_schedule.rs
+++ b/crates/discovery-client/src/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! When a dispatcher calls the list service, which all dispatchers share and which serves one call at a time.
+//! When a dispatcher calls the discovery service, which all dispatchers share and which serves one call at a time.
 //!
 //! No dispatcher knows the capacity of the service, and dispatchers don't coordinate. So each estimates the service time of
 //! one call, and makes its calls at its own position in a *round*, whose length is the service time multiplied by the number
@@ -31,7 +31,8 @@
 const LATE_RETRY_POSITION: Range<f64> = 0.5..1.2;
 /// A watch that received nothing for this long, in microseconds, is broken: the service sends an empty line every 2 s.
 pub const WATCH_TIMEOUT: Micros = SECOND * 5 / 2;
-/// A change that the list service has known for this long, in microseconds, counts as notified, even if it was not received.
+/// A change that the discovery service has known for this long, in microseconds, counts as notified, even if it was not
+/// received.
 pub const NOTIFICATION_DEADLINE: Micros = 6 * SECOND;
 /// Time in which a service that is not overloaded answers a call, including the connection setup, in microseconds.
 pub(crate) const EXPECTED_CALL_TIME: Micros = SECOND;
--- a/crates/discovery-client/src/startup_stage.rs
+++ b/crates/discovery-client/src/startup_stage.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[repr(u8)]
 pub enum StartupStage {
-    /// There is no endpoint list, and no call to the list service has been answered.
+    /// There is no endpoint list, and no call to the discovery service has been answered.
     #[default]
     NoList = 0,
-    /// A cached list is in use; the list service has not confirmed it yet.
+    /// A cached list is in use; the discovery service has not confirmed it yet.
     ListUnconfirmed = 1,
-    /// The list service has sent a list, and its watch is open.
+    /// The discovery service has sent a list, and its watch is open.
     ListConfirmed = 2,
     /// The watch is broken. The list, which was confirmed before, stays in use until the next call is answered.
     WatchBroken = 3,
@@ -49,11 +49,11 @@
 pub struct StartupProgress {
     started_at: Micros,
     stage: StartupStage,
-    /// Whether the list service has sent a list.
+    /// Whether the discovery service has sent a list.
     is_confirmed: bool,
     /// Whether a call has neither been answered nor failed.
     call_in_flight: bool,
-    /// Number of calls to the list service.
+    /// Number of calls to the discovery service.
     pub calls: u64,
     /// Number of these calls that failed.
     pub failed_calls: u64,
--- a/crates/discovery-client/tests/lease.rs
+++ b/crates/discovery-client/tests/lease.rs
@@ -16,7 +16,7 @@
     (0..1_000).find(|tenth| !lease.is_valid(tenth * SECOND / 10))
 }
 
-/// Guards against a cached list that is acted on although the list service could notify of changes: a refused call shows
+/// Guards against a cached list that is acted on although the discovery service could notify of changes: a refused call shows
 /// that it cannot, a single timeout does not.
 #[rstest]
 #[case::nothing(&[], false)]
@@ -38,7 +38,7 @@
     assert!(lease.is_valid(Micros::MAX - 1), "an open watch notifies of each change");
 }
 
-/// Guards against a deployment that trusts its cached list, but does not use it before the list service has answered.
+/// Guards against a deployment that trusts its cached list, but does not use it before the discovery service has answered.
 #[rstest]
 fn a_trusted_list_may_be_used_from_the_start() {
     let mut lease = ListLease::trusted(CONNECT_TIMEOUT);
@@ -66,7 +66,7 @@
     assert_eq!(expires_at_tenth(&lease), Some(510));
 }
 
-/// Guards against a list that stays in use after a move of the list service that no watch event follows: changes count as
+/// Guards against a list that stays in use after a move of the discovery service that no watch event follows: changes count as
 /// notified 4 s later, and one refused call at the new address does not show that the service is down.
 #[rstest]
 fn a_move_of_the_list_service_shortens_the_lease() {
--- a/crates/gearman-load/src/main.rs
+++ b/crates/gearman-load/src/main.rs
@@ -1,4 +1,4 @@
-//! Load generator for the Gearman front on loopback. Prints Markdown tables.
+//! Load generator for the Gearman front end on loopback. Prints Markdown tables.
 
 mod clients;
 mod depth;
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-/// Measure the Gearman front on loopback and compare it with a bare relay of the same packets.
+/// Measure the Gearman front end on loopback and compare it with a bare relay of the same packets.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
--- a/crates/gearman-load/src/server.rs
+++ b/crates/gearman-load/src/server.rs
@@ -43,7 +43,7 @@
 }
 
 impl Program {
-    /// Starts the dispatcher. `gearman` is the section `[gearman]` of the operators' file without `listen`.
+    /// Starts the dispatcher. `gearman` is the section `[gearman]` of the operator file without `listen`.
     pub fn start(&self, gearman: &str) -> Server {
         let files = tempfile::tempdir().expect("a folder");
         let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,4 +1,4 @@
-//! Cluster membership of dispatchers: failure detection, dissemination of the host list, and the size of the fleet.
+//! Cluster membership of dispatchers: failure detection, dissemination of the endpoint list, and the size of the fleet.
 
 pub mod codec;
 pub mod lists;
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -1,4 +1,4 @@
-//! The host list of one member: its version, its recent changes, and what to disseminate. A list is disseminated only
+//! The endpoint list of one member: its version, its recent changes, and what to disseminate. A list is disseminated only
 //! if it comes from the discovery service, or from another member with a matching version and digest.
 
 use crate::Micros;
@@ -26,7 +26,7 @@
     pub requested_at: Micros,
 }
 
-/// An update of the hosts that the dispatch decisions use.
+/// An update of the hosts that the decision logic uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostsUpdate {
     /// Whether the list is complete; otherwise it contains only the changed hosts.
@@ -40,7 +40,7 @@
 /// An action that results from an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListAction {
-    /// Update the hosts that the dispatch decisions use.
+    /// Update the hosts that the decision logic uses.
     Update(HostsUpdate),
     /// Disseminate the new version, with the change that leads to it unless the list was replaced.
     Disseminate(Option<Change>),
--- a/crates/peers/src/member_count.rs
+++ b/crates/peers/src/member_count.rs
@@ -1,4 +1,4 @@
-//! The number of dispatchers used by the dispatch decisions. It does not decrease while a network partition may heal.
+//! The number of dispatchers used by the decision logic. It does not decrease while a network partition may heal.
 //!
 //! The slow-start budget of a worker is divided by this number. If the two sides of a partition each counted only
 //! themselves, they would together send the worker twice its budget. A member that has failed without leaving is
@@ -12,7 +12,7 @@
 /// How long the membership must be unchanged before configured members that were never seen are no longer counted.
 pub const SETTLE_TIME: Micros = 2 * SECOND;
 
-/// The size of the fleet and this dispatcher's index in it, as used by the dispatch decisions.
+/// The size of the fleet and this dispatcher's index in it, as used by the decision logic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fleet {
     /// The number of dispatchers including this one; at least 1.
@@ -80,7 +80,7 @@
         self.counted.len()
     }
 
-    /// Returns the fleet for the dispatch decisions. `all_seeds_alive` is whether all seed members are alive.
+    /// Returns the fleet for the decision logic. `all_seeds_alive` is whether all seed members are alive.
     pub fn fleet(&mut self, now: Micros, all_seeds_alive: bool) -> Fleet {
         self.counted.retain(|_, failed_since| {
             failed_since.is_none_or(|failed_at| now - failed_at < self.longest_partition)
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,5 +1,5 @@
 //! The state machine of one cluster member. It handles datagrams, requests, responses, discovery service updates and
-//! timers, and returns what to send, which updates the dispatch decisions need, and whether to watch the discovery
+//! timers, and returns what to send, which updates the decision logic needs, and whether to watch the discovery
 //! service.
 
 mod api;
@@ -36,7 +36,7 @@
 /// The interval at which the watch mode and the fleet size are reviewed.
 const REVIEW_PERIOD: Micros = SECOND / 10;
 
-/// A pull of the host list that awaits its response.
+/// A pull of the endpoint list that awaits its response.
 #[derive(Clone, Copy)]
 struct PullInFlight {
     to: SocketAddr,
@@ -62,7 +62,7 @@
     next_election: Micros,
     watch_mode: WatchMode,
     fleet: Fleet,
-    /// The latest pull of the host list, until its response arrives.
+    /// The latest pull of the endpoint list, until its response arrives.
     pull_in_flight: Option<PullInFlight>,
     relayed_suspicions: Vec<RelayedSuspicion>,
     statistics: Statistics,
--- a/crates/peers/src/peers/api.rs
+++ b/crates/peers/src/peers/api.rs
@@ -65,13 +65,13 @@
     Send(SocketAddr, Vec<u8>),
     /// Send a request over TCP: one frame, which is answered with one frame.
     Request(SocketAddr, Vec<u8>),
-    /// Update the hosts that the dispatch decisions use.
+    /// Update the hosts that the decision logic uses.
     UpdateHosts(HostsUpdate),
     /// Open or close the watch at the discovery service.
     Watch(WatchMode),
     /// Close the open watch and request the complete list.
     ReloadList(ReloadReason),
-    /// Update the fleet that the dispatch decisions use.
+    /// Update the fleet that the decision logic uses.
     Fleet(Fleet),
     /// Report a change of a member.
     MemberChanged(membership::Change),
@@ -94,7 +94,7 @@
     }
 }
 
-/// The host list of a member, for operators.
+/// The endpoint list of a member, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostListStatus {
     /// The version of the list.
@@ -131,7 +131,7 @@
     pub dropped: [u64; 4],
     /// The number of conflicts between different lists of one revision, each resolved by requesting the complete list.
     pub conflicts: u64,
-    /// The number of versions of the host list that were applied.
+    /// The number of versions of the endpoint list that were applied.
     pub versions_applied: u64,
     /// The age of the last applied version when it was applied, in microseconds.
     pub applied_version_age: Micros,
--- a/crates/peers/src/peers/host_list.rs
+++ b/crates/peers/src/peers/host_list.rs
@@ -1,4 +1,4 @@
-//! Dissemination of the host list: gossip of changes, and anti-entropy through digests and pulls of missing changes.
+//! Dissemination of the endpoint list: gossip of changes, and anti-entropy through digests and pulls of missing changes.
 
 use super::api::Action;
 use super::{Peers, PullInFlight, REQUEST_TIMEOUT};
--- a/crates/peers/src/peers/status.rs
+++ b/crates/peers/src/peers/status.rs
@@ -24,7 +24,7 @@
         &self.statistics
     }
 
-    /// Returns the status of the host list, if there is one.
+    /// Returns the status of the endpoint list, if there is one.
     pub fn list(&self, now: Micros) -> Option<HostListStatus> {
         Some(HostListStatus {
             version: self.lists.version()?,
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Returns the fleet that was last reported to the dispatch decisions.
+    /// Returns the fleet that was last reported to the decision logic.
     pub fn fleet(&self) -> Fleet {
         self.fleet
     }
--- a/crates/peers/src/peers/watch.rs
+++ b/crates/peers/src/peers/watch.rs
@@ -1,4 +1,4 @@
-//! Selection of the watch mode of this member, and updates of the fleet for the dispatch decisions.
+//! Selection of the watch mode of this member, and updates of the fleet for the decision logic.
 
 use super::Peers;
 use super::api::{Action, WatchMode};
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -28,7 +28,7 @@
     /// The sender's list version and its reports about watchers.
     #[prost(message, tag = "4")]
     Digest(Digest),
-    /// A change of the host list.
+    /// A change of the endpoint list.
     #[prost(message, tag = "5")]
     Change(Change),
     /// Notifies a member of a suspicion.
@@ -122,7 +122,7 @@
     pub through: bool,
 }
 
-/// A version of the host list.
+/// A version of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Version {
     /// Starts at 1 and is incremented with each restart of the discovery service.
@@ -170,7 +170,7 @@
     pub age_us: u64,
 }
 
-/// A host on the host list.
+/// A host on the endpoint list.
 #[derive(Clone, PartialEq, Message)]
 pub struct Target {
     /// The host's unique name.
--- a/crates/rig/src/cli/run.rs
+++ b/crates/rig/src/cli/run.rs
@@ -25,10 +25,10 @@
     /// number of dispatchers; the number of workers is scaled in proportion
     #[argh(option)]
     processes: Option<usize>,
-    /// service time of a call to the list service, in milliseconds
+    /// service time of a call to the discovery service, in milliseconds
     #[argh(option)]
     call_ms: Option<f64>,
-    /// operators' settings file for the program under test, not for the `--against` build
+    /// operator file for the program under test, not for the `--against` build
     #[argh(option)]
     operator: Option<PathBuf>,
     /// seed of all random choices (default: 1)
--- a/crates/rig/src/dispatcher_process.rs
+++ b/crates/rig/src/dispatcher_process.rs
@@ -1,4 +1,4 @@
-//! Starts dispatchers as processes, and moves their list service.
+//! Starts dispatchers as processes, and moves their discovery service.
 
 use crate::process::{Process, ProcessError};
 use crate::scenario::Scenario;
@@ -31,9 +31,9 @@
     pub listen: SocketAddr,
     /// Its admin address.
     pub admin: SocketAddr,
-    /// The address of its list service.
+    /// The address of its discovery service.
     pub list_service: SocketAddr,
-    /// The address of the list service after it has moved.
+    /// The address of the discovery service after it has moved.
     pub moved_list_service: SocketAddr,
     /// Its own directory.
     pub folder: PathBuf,
@@ -77,7 +77,7 @@
     source: io::Error,
 }
 
-/// A dispatcher could not be notified that its list service has moved.
+/// A dispatcher could not be notified that its discovery service has moved.
 #[derive(Debug, Error)]
 pub enum MoveError {
     /// Its configuration could not be changed.
@@ -109,7 +109,7 @@
         Ok(DispatcherProcess { process, spec: spec.clone() })
     }
 
-    /// Writes the list service's new address into its configuration, and makes it reload.
+    /// Writes the discovery service's new address into its configuration, and makes it reload.
     ///
     /// # Errors
     ///
--- a/crates/rig/src/ledger.rs
+++ b/crates/rig/src/ledger.rs
@@ -63,7 +63,7 @@
     ConnectionOpened(usize),
     /// A connection at a worker was closed.
     ConnectionClosed(usize),
-    /// The list service notified a dispatcher that a worker is draining.
+    /// The discovery service notified a dispatcher that a worker is draining.
     DrainNotified {
         /// The dispatcher.
         dispatcher: usize,
@@ -79,16 +79,16 @@
     },
     /// A worker started and warms up.
     WorkerStarted(WarmUp),
-    /// A dispatcher called the list service.
+    /// A dispatcher called the discovery service.
     ListCall {
         /// The dispatcher.
         dispatcher: usize,
         /// Length of the service's queue, including this call.
         queue: usize,
     },
-    /// The list service rejected or dropped a call of a dispatcher.
+    /// The discovery service rejected or dropped a call of a dispatcher.
     ListCallFailed(usize),
-    /// The list service wrote the list to a dispatcher for the first time since its start.
+    /// The discovery service wrote the list to a dispatcher for the first time since its start.
     ListReceived(usize),
     /// A dispatcher was started.
     DispatcherStarted(usize),
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,6 +1,6 @@
-//! Test rig that runs real dispatchers as processes, each at its own address in 127/8, against a simulated list service,
-//! workers and clients (the stand-ins), and injects faults between them. The stand-ins record their observations in a
-//! ledger; the rules are checked against the ledger alone, never against a dispatcher's own metrics.
+//! Test rig that runs real dispatchers as processes, each at its own address in 127/8, against a simulated discovery
+//! service, workers and clients (the stand-ins), and injects faults between them. The stand-ins record their
+//! observations in a ledger; the rules are checked against the ledger alone, never against a dispatcher's own metrics.
 //!
 //! Every link except those between two dispatchers has a stand-in at one end, which applies the link's faults itself, so
 //! no relay is needed: see [`links`]. The rig uses loopback only, and no process outlives its [`run::Run`].
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -9,7 +9,7 @@
 /// A participant of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Participant {
-    /// The list service.
+    /// The discovery service.
     List,
     /// A dispatcher, by its number.
     Dispatcher(usize),
--- a/crates/rig/src/list.rs
+++ b/crates/rig/src/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of the list service: its entries, their revisions, and its watches.
+//! The endpoint list of the discovery service: its entries, their revisions, and its watches.
 
 use crate::time::Micros;
 use may::sync::mpsc::{Receiver, Sender, channel};
--- a/crates/rig/src/list_service.rs
+++ b/crates/rig/src/list_service.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the list service: it processes calls one after another, each in a fixed time, and rejects a call that
-//! waits too long. On a watch it then sends changes as they occur, and an empty line after 2 s without a change.
+//! A stand-in for the discovery service: it processes calls one after another, each in a fixed time, and rejects a call
+//! that waits too long. On a watch it then sends changes as they occur, and an empty line after 2 s without a change.
 
 use crate::http::{CHUNKED_HEAD, Connection, Message, chunk, response};
 use crate::ledger::Observation;
--- a/crates/rig/src/outage.rs
+++ b/crates/rig/src/outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the list service.
+//! Outages of the discovery service.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
     Empty,
 }
 
-/// A period in which calls to the list service fail.
+/// A period in which calls to the discovery service fail.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -35,11 +35,11 @@
     pub seed: u64,
     /// Numbers of dispatchers and workers.
     pub size: RunSize,
-    /// Calls to the list service.
+    /// Calls to the discovery service.
     pub calls: usize,
-    /// Calls to the list service that failed.
+    /// Calls to the discovery service that failed.
     pub failed_calls: usize,
-    /// The longest queue of calls at the list service.
+    /// The longest queue of calls at the discovery service.
     pub longest_queue: usize,
     /// Time from a dispatcher's start to its first list, in seconds: median, 99th percentile and maximum.
     #[serde(rename = "listed_s")]
--- a/crates/rig/src/run/error.rs
+++ b/crates/rig/src/run/error.rs
@@ -32,7 +32,7 @@
     /// A dispatcher could not be controlled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A dispatcher could not be notified that its list service has moved.
+    /// A dispatcher could not be notified that its discovery service has moved.
     #[error(transparent)]
     Move(#[from] MoveError),
     /// A worker could not be replaced.
--- a/crates/rig/src/run/setup.rs
+++ b/crates/rig/src/run/setup.rs
@@ -20,7 +20,7 @@
 /// The loopback address with a port that the system chooses.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// The listeners of the list service for one dispatcher: at its address, and at the address to which it moves.
+/// The listeners of the discovery service for one dispatcher: at its address, and at the address to which it moves.
 struct ListServiceListeners {
     current: TcpListener,
     moved: TcpListener,
--- a/crates/rig/src/scale/figure.rs
+++ b/crates/rig/src/scale/figure.rs
@@ -21,13 +21,13 @@
     DescriptorsAtRest,
     /// Open descriptors after the phase with requests; maximum of all dispatchers.
     DescriptorsPeak,
-    /// Bytes that the list service wrote up to the end of the first list; mean per dispatcher.
+    /// Bytes that the discovery service wrote up to the end of the first list; mean per dispatcher.
     FirstListBytes,
-    /// Bytes that the list service wrote per change; mean per dispatcher.
+    /// Bytes that the discovery service wrote per change; mean per dispatcher.
     ChangeBytes,
-    /// Bytes that the list service wrote per second when idle; mean per dispatcher.
+    /// Bytes that the discovery service wrote per second when idle; mean per dispatcher.
     RestBytesPerSecond,
-    /// Bytes that the list service read up to the end of the first list; mean per dispatcher.
+    /// Bytes that the discovery service read up to the end of the first list; mean per dispatcher.
     CallBytes,
     /// Bytes that workers read per request, including responses to callbacks.
     WorkerReadBytes,
@@ -37,11 +37,12 @@
     WorkerConnections,
     /// Seconds from the start of a dispatcher to its confirmed list, from its own metrics; maximum of all dispatchers.
     ConfirmedAfter,
-    /// Bytes that the list service wrote after it moved and all dispatchers reloaded; mean per dispatcher.
+    /// Bytes that the discovery service wrote after it moved and all dispatchers reloaded; mean per dispatcher.
     MoveBytes,
     /// Seconds from the move until all dispatchers watched the list at the new address.
     MoveAfter,
-    /// Bytes that the list service wrote after all dispatchers were killed and restarted together; mean per dispatcher.
+    /// Bytes that the discovery service wrote after all dispatchers were killed and restarted together; mean per
+    /// dispatcher.
     RestartBytes,
     /// Seconds from the restart until all dispatchers had a confirmed list.
     RestartAfter,
--- a/crates/rig/src/scale/interval.rs
+++ b/crates/rig/src/scale/interval.rs
@@ -31,7 +31,7 @@
         self.mean_processor_us() - idle.mean_processor_us() / idle.seconds() * self.seconds()
     }
 
-    /// Bytes that the list service wrote, mean per dispatcher.
+    /// Bytes that the discovery service wrote, mean per dispatcher.
     pub fn mean_list_bytes(&self) -> f64 {
         let sum = |sample: &Sample| sample.registry.iter().map(|traffic| traffic.written).sum::<u64>();
         (sum(&self.to) - sum(&self.from)) as f64 / self.dispatchers()
--- a/crates/rig/src/scale/plan.rs
+++ b/crates/rig/src/scale/plan.rs
@@ -23,7 +23,7 @@
 const RATES_PER_SECOND: RangeInclusive<f64> = 0.1..=1000.0;
 /// Allowed length of a phase, in seconds.
 const PHASE_SECONDS: RangeInclusive<f64> = 0.1..=120.0;
-/// Limit of the changes in a phase, as the list service buffers the changes that a dispatcher has not read yet.
+/// Limit of the changes in a phase, as the discovery service buffers the changes that a dispatcher has not read yet.
 const MAX_CHANGES_PER_PHASE: f64 = 10_000.0;
 /// Approximate memory of a dispatcher without workers, in KiB.
 const MIN_DISPATCHER_KIB: u64 = 6 * 1024;
@@ -53,7 +53,7 @@
     /// repetitions of each size, of which medians are shown (default: 1, at most 9)
     #[argh(option, default = "1")]
     plays: usize,
-    /// move the list service at the end of each trial and reload all dispatchers
+    /// move the discovery service at the end of each trial and reload all dispatchers
     #[argh(switch, long = "move")]
     move_list_service: bool,
     /// kill all dispatchers at the end of each trial and restart them together
@@ -170,7 +170,7 @@
     /// Repetitions of each size.
     #[serde(rename = "plays")]
     pub repetitions: usize,
-    /// Whether the list service moves at the end of each trial.
+    /// Whether the discovery service moves at the end of each trial.
     #[serde(rename = "moves")]
     pub move_list_service: bool,
     /// Whether all dispatchers are killed and restarted together at the end of each trial.
--- a/crates/rig/src/scale/registry.rs
+++ b/crates/rig/src/scale/registry.rs
@@ -1,4 +1,4 @@
-//! List service of a measurement. It has its own listeners for each dispatcher, so that traffic is counted by dispatcher.
+//! Discovery service of a measurement. It has its own listeners for each dispatcher, so that traffic is counted by dispatcher.
 
 use crate::http::{CHUNKED_HEAD, Connection, chunk, response};
 use crate::list::{EndpointList, ListEntry, WatchEvent};
@@ -46,7 +46,7 @@
     }
 }
 
-/// The list service.
+/// The discovery service.
 pub struct Registry {
     clock: Clock,
     list: EndpointList,
--- a/crates/rig/src/scale/start.rs
+++ b/crates/rig/src/scale/start.rs
@@ -1,5 +1,5 @@
 //! Measures how all dispatchers receive the entire list: at the start, after a restart of all dispatchers, and after the
-//! list service has moved.
+//! discovery service has moved.
 
 use crate::scale::admin::Metrics;
 use crate::scale::figure::{Figure, FigureValue};
@@ -80,7 +80,7 @@
 }
 
 /// Describes a rejection: how many dispatchers did not accept the list, how often it was sent to them, and the last line of
-/// one dispatcher's log about discovery.
+/// one dispatcher's log about the discovery service.
 fn rejection_reason(environment: &mut TrialEnvironment, pending: &[usize]) -> String {
     let bytes = environment.registry.list_bytes();
     let sent = max_lists_sent(environment, pending);
@@ -93,7 +93,7 @@
     format!("{count} dispatchers did not accept a list of {bytes} bytes, sent up to {sent} times; log: {log}")
 }
 
-/// Bytes that the list service had written, and the time, before a move or a restart.
+/// Bytes that the discovery service had written, and the time, before a move or a restart.
 struct Baseline {
     list_bytes: f64,
     at: Micros,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Moves the list service, reloads all dispatchers and waits until they have followed.
+/// Moves the discovery service, reloads all dispatchers and waits until they have followed.
 ///
 /// # Errors
 ///
--- a/crates/rig/src/scale/trial_environment.rs
+++ b/crates/rig/src/scale/trial_environment.rs
@@ -1,4 +1,5 @@
-//! Environment of a trial: the dispatcher processes, and the list service, workers and clients that they run against.
+//! Environment of a trial: the dispatcher processes, and the discovery service, workers and clients that they run
+//! against.
 
 use crate::dispatcher_process::{DispatcherProcess, DispatcherSpec, Limits, StartSettings};
 use crate::list::EMPTY_LIST;
@@ -43,7 +44,7 @@
     pub at: Micros,
     /// Resource usage of each dispatcher.
     pub usage: Vec<Usage>,
-    /// Traffic between the list service and each dispatcher.
+    /// Traffic between the discovery service and each dispatcher.
     pub registry: Vec<TrafficCount>,
     /// Traffic of the workers.
     pub workers: WorkerTraffic,
@@ -53,7 +54,7 @@
 
 /// Environment of a trial. Dropping it ends all processes.
 pub struct TrialEnvironment {
-    /// The list service.
+    /// The discovery service.
     pub registry: Arc<Registry>,
     /// The clients.
     pub load: Arc<LoadGenerator>,
@@ -153,7 +154,7 @@
         self.dispatchers.clear();
     }
 
-    /// Moves the list service and reloads the configuration of all dispatchers.
+    /// Moves the discovery service and reloads the configuration of all dispatchers.
     ///
     /// # Errors
     ///
@@ -223,7 +224,7 @@
         })
     }
 
-    /// Bytes that the list service has written, mean per dispatcher.
+    /// Bytes that the discovery service has written, mean per dispatcher.
     #[must_use]
     pub fn list_bytes(&self) -> f64 {
         let total: u64 = (0..self.specs.len()).map(|number| self.registry.traffic(number).written).sum();
@@ -236,7 +237,7 @@
         (0..self.specs.len()).filter_map(|number| self.registry.first_list(number)).collect()
     }
 
-    /// Dispatchers that have not followed the list service to its new address.
+    /// Dispatchers that have not followed the discovery service to its new address.
     #[must_use]
     pub fn not_moved(&self) -> Vec<usize> {
         (0..self.specs.len()).filter(|number| !self.registry.has_moved(*number)).collect()
--- a/crates/rig/src/scale/trial_error.rs
+++ b/crates/rig/src/scale/trial_error.rs
@@ -41,7 +41,7 @@
         /// Why it cannot be read.
         source: io::Error,
     },
-    /// A dispatcher could not be pointed to the new address of the list service.
+    /// A dispatcher could not be pointed to the new address of the discovery service.
     #[error(transparent)]
     Move(#[from] MoveError),
 }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -50,7 +50,7 @@
     /// The dispatchers start with a cached list, as of the start of the run.
     #[serde(rename = "known", default)]
     pub starts_with_list: bool,
-    /// The list service.
+    /// The discovery service.
     #[serde(default)]
     pub list: ListServiceProfile,
     /// The workers.
@@ -65,7 +65,7 @@
     /// Events at set times.
     #[serde(default, rename = "event")]
     pub events: Vec<Event>,
-    /// The text of the dispatchers' operator settings; without it, all optional parts are off.
+    /// The text of the dispatchers' operator file; without it, all optional parts are off.
     #[serde(rename = "operator", default)]
     pub operator_settings: Option<String>,
     /// Expectations in addition to the rules.
@@ -81,7 +81,7 @@
     0.2
 }
 
-/// The behaviour of the list service.
+/// The behaviour of the discovery service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListServiceProfile {
@@ -186,7 +186,7 @@
     Stop,
     /// A stopped dispatcher continues.
     Continue,
-    /// The list service moves: the dispatcher's configuration has the new address, and it reloads.
+    /// The discovery service moves: the dispatcher's configuration has the new address, and it reloads.
     Move,
     /// A worker is listed as draining.
     Drain,
@@ -202,7 +202,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// Maximum number of calls to the list service per dispatcher.
+    /// Maximum number of calls to the discovery service per dispatcher.
     pub calls_each: Option<f64>,
     /// Maximum number of failed calls in total.
     pub failed_calls: Option<usize>,
@@ -288,7 +288,7 @@
     }
 
     /// The same scenario with another number of dispatchers: the number of workers and the groups are scaled in proportion,
-    /// the processing time of calls to the list service is not.
+    /// the processing time of calls to the discovery service is not.
     #[must_use]
     pub fn scaled_to(mut self, processes: usize) -> Scenario {
         let scale = processes as f64 / self.processes as f64;
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,5 +1,6 @@
-//! Random scenarios, generated from a seed: signals in series, workers that hang, restart and drain, a list service with
-//! outages, link faults, and on some seeds idle clients. Clients use their open connections until a dispatcher is killed.
+//! Random scenarios, generated from a seed: signals in series, workers that hang, restart and drain, a discovery service
+//! with outages, link faults, and on some seeds idle clients. Clients use their open connections until a dispatcher is
+//! killed.
 //!
 //! The order in which random numbers are drawn must not change: otherwise a seed would give another scenario.
 
--- a/crates/rig/tests/scale.rs
+++ b/crates/rig/tests/scale.rs
@@ -60,7 +60,7 @@
     registry.traffic(0).written
 }
 
-/// A list service and workers, whose net is reserved while the claim is held.
+/// A discovery service and workers, whose net is reserved while the claim is held.
 struct StandIns {
     registry: Arc<Registry>,
     workers: Arc<SimulatedWorkers>,
--- a/dispatcher/src/core/downstream.rs
+++ b/dispatcher/src/core/downstream.rs
@@ -1,5 +1,5 @@
-//! The client side: what a frontend passes in when a stream arrives, and the traits for taking its answer, for queueing
-//! jobs outside the event loop and for recording finished streams.
+//! The client side: what a front end passes in when a stream arrives, and the traits for taking its answer, for
+//! queueing jobs outside the event loop and for recording finished streams.
 
 use super::{FleetId, StreamId};
 use roselock::{ClassId, KeyId, Micros, TenantId};
@@ -10,11 +10,11 @@
 /// A request as received: one buffer, and the ranges of its parts in that buffer.
 #[derive(Default)]
 pub struct Payload {
-    /// The whole request. The streams of a job that its frontend submits again share it.
+    /// The whole request. The streams of a job that its front end submits again share it.
     pub raw: Arc<Vec<u8>>,
     /// The request id that the client sent, if any.
     pub id: Range<usize>,
-    /// The id that the frontend assigned; it takes precedence over [`Payload::id`].
+    /// The id that the front end assigned; it takes precedence over [`Payload::id`].
     pub assigned_id: Option<String>,
     /// The method.
     pub method: Range<usize>,
@@ -62,7 +62,7 @@
     pub hint: Option<f64>,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// For a job that its frontend submits again: the number of attempts in earlier streams that may have run.
+    /// For a job that its front end submits again: the number of attempts in earlier streams that may have run.
     pub prior_attempts: u32,
     /// The client's address.
     pub peer: SocketAddr,
--- a/dispatcher/src/core/mod.rs
+++ b/dispatcher/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The in-memory state of the process (streams, upstream requests, upstream hosts and their connection pools) and the
 //! event loop that owns it together with the decision logic ([`roselock::Dispatcher`]). This module is independent of
-//! the wire protocols: the frontends, the upstream connections and discovery post messages to [`Inbox`], and are called
-//! through the traits in [`downstream`] and [`upstream`].
+//! the wire protocols: the front ends, the upstream connections and discovery post messages to [`Inbox`], and are
+//! called through the traits in [`downstream`] and [`upstream`].
 
 pub mod clock;
 pub mod downstream;
--- a/dispatcher/src/lifecycle/config.rs
+++ b/dispatcher/src/lifecycle/config.rs
@@ -27,7 +27,7 @@
     pub name: String,
     /// Listen address for clients and callbacks.
     pub listen: SocketAddr,
-    /// Address of discovery, which serves the endpoint list.
+    /// Address of the discovery service, which serves the endpoint list.
     pub discovery: SocketAddr,
     /// Listen address of the admin interface, if it is enabled.
     pub admin: Option<SocketAddr>,
--- a/dispatcher/src/lifecycle/config/node_file.rs
+++ b/dispatcher/src/lifecycle/config/node_file.rs
@@ -100,7 +100,7 @@
         self.required_address("listen", self.content.listen.as_ref(), "NODE_LISTEN")
     }
 
-    /// Address of discovery.
+    /// Address of the discovery service.
     ///
     /// # Errors
     /// Fails if the address is missing or invalid.
--- a/dispatcher/src/lifecycle/config/operator_settings.rs
+++ b/dispatcher/src/lifecycle/config/operator_settings.rs
@@ -37,7 +37,8 @@
     pub gearman: Option<gearman::GearmanSettings>,
     /// Settings of the IPFIX flow export, if it is enabled.
     pub ipfix: Option<IpfixSettings>,
-    /// Startup parameters, which limit the load of many dispatchers on discovery and on workers.
+    /// Startup parameters, which limit the load of many dispatchers on the discovery service and on
+    /// workers.
     pub start: StartupParameters,
     /// Warnings about deprecated keys.
     pub warnings: Vec<FileError>,
--- a/dispatcher/src/lifecycle/reload.rs
+++ b/dispatcher/src/lifecycle/reload.rs
@@ -19,8 +19,8 @@
     inbox: Inbox,
     fleet: FleetId,
     discovery: DiscoveryHandle,
-    /// Sequence number of the latest configured move of discovery. A delayed move is discarded once there is
-    /// a later one.
+    /// Sequence number of the latest configured move of the discovery service. A delayed move is discarded
+    /// once there is a later one.
     discovery_moves: Arc<AtomicUsize>,
     gearman: Option<Arc<Gearman>>,
 }
--- a/dispatcher/src/lifecycle/startup.rs
+++ b/dispatcher/src/lifecycle/startup.rs
@@ -81,8 +81,8 @@
             self.shares.upstream_connections,
             poll_requests,
         );
-        // Only this fleet's endpoint list expires when discovery is silent: Gearman workers connect to this
-        // process, so their connections show that they exist.
+        // Only this fleet's endpoint list expires when the discovery service is silent: Gearman workers
+        // connect to this process, so their connections show that they exist.
         let settings = Settings { list_lease_enabled: true, ..self.site.settings.clone() };
         let mut core = Core::new(self.inbox.clone(), inputs, flows, self.admin_state.clone());
         let fleet = core.add_fleet(settings, self.config.seed, Some(Box::new(dialer)))?;
--- a/dispatcher/src/lifecycle/startup_settings.rs
+++ b/dispatcher/src/lifecycle/startup_settings.rs
@@ -1,5 +1,5 @@
-//! The `[start]` section of the operator file: limits the load on discovery and workers when hundreds of
-//! dispatchers start together.
+//! The `[start]` section of the operator file: limits the load on the discovery service and workers when
+//! hundreds of dispatchers start together.
 
 use super::settings_error::ConfigError;
 use roselock::{Micros, SECOND};
@@ -14,16 +14,17 @@
 const CONNECTIONS_PER_S_RANGE: RangeInclusive<f64> = 0.1..=100_000.0;
 /// Allowed values of `resync_after_s`, in seconds.
 const RESYNC_AFTER_S_RANGE: RangeInclusive<f64> = 0.1..=3600.0;
-/// Default of `resync_after_s`. The poll costs discovery one full list per dispatcher.
+/// Default of `resync_after_s`. The poll costs the discovery service one full list per dispatcher.
 const DEFAULT_RESYNC_AFTER: Micros = 30 * SECOND;
 
 /// The `[start]` section. Missing keys behave as on the platform, where no operator file is used.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StartupSettings {
-    /// Estimate of discovery's service time per poll before any poll was made, in milliseconds.
+    /// Estimate of the service time of the discovery service per poll before any poll was made, in
+    /// milliseconds.
     list_call_ms: Option<Spanned<f64>>,
-    /// Whether the cached list is unconfirmed until discovery has answered.
+    /// Whether the cached list is unconfirmed until the discovery service has answered.
     #[serde(rename = "careful")]
     list_unconfirmed: bool,
     /// Whether a new discovery address is first polled in this dispatcher's slot of a polling round, rather
@@ -46,10 +47,10 @@
 /// Validated parameters from the section.
 #[derive(Clone, Debug)]
 pub struct StartupParameters {
-    /// Estimate of discovery's service time per poll before any poll was made; if absent, the scheduling
-    /// settings apply.
+    /// Estimate of the service time of the discovery service per poll before any poll was made; if absent,
+    /// the scheduling settings apply.
     pub list_call_time: Option<Micros>,
-    /// Whether the cached list is unconfirmed until discovery has answered.
+    /// Whether the cached list is unconfirmed until the discovery service has answered.
     pub list_unconfirmed: bool,
     /// Whether a new discovery address is first polled in this dispatcher's slot of a polling round, rather
     /// than immediately.
--- a/dispatcher/src/wire/admin.rs
+++ b/dispatcher/src/wire/admin.rs
@@ -1,6 +1,6 @@
 //! The admin protocol: each command is one line and so is each response, except that `METRICS` returns
 //! several lines, terminated by a line `.`. Responses are built from shared state, so they never wait for
-//! client traffic or for the owner thread's queue. Only `SUSPEND` and `RESTORE` wait for the owner thread,
+//! client traffic or for the event loop's queue. Only `SUSPEND` and `RESTORE` wait for the event loop,
 //! for at most [`CHANGE_TIMEOUT`].
 
 use super::connection_limiter::{ConnectionLimiter, ShedPriority, SheddableConnection};
@@ -24,7 +24,7 @@
 const IDLE_TIMEOUT: Micros = 10 * SECOND;
 /// Time limit for writing a response.
 const WRITE_TIMEOUT: Micros = SECOND;
-/// Time limit for a change: the response is sent once the owner thread has applied the change and the file
+/// Time limit for a change: the response is sent once the event loop has applied the change and the file
 /// contains it, or after this time. The change takes effect in either case.
 const CHANGE_TIMEOUT: Micros = SECOND / 2;
 /// Interval at which the state of a change is polled.
@@ -38,7 +38,7 @@
     pub metrics: Arc<Metrics>,
     /// Workers that operators have suspended.
     pub suspensions: Arc<Suspensions>,
-    /// Reports whether the process is ready, and wakes the owner thread.
+    /// Reports whether the process is ready, and wakes the event loop.
     pub inbox: Inbox,
     /// The admin connections.
     pub connections: Arc<ConnectionLimiter>,
--- a/dispatcher/src/wire/callbacks.rs
+++ b/dispatcher/src/wire/callbacks.rs
@@ -40,7 +40,7 @@
     Some(event)
 }
 
-/// Posts a callback to the owner thread; returns false if the callback is invalid. The body is included if
+/// Posts a callback to the event loop; returns false if the callback is invalid. The body is included if
 /// `may_forward` is set: during an upgrade, the other process may hold the stream.
 pub fn post(body: &[u8], site: &Site, inbox: &Inbox, may_forward: bool) -> bool {
     let Ok(callback) = serde_json::from_slice::<Callback>(body) else { return false };
--- a/dispatcher/src/wire/discovery.rs
+++ b/dispatcher/src/wire/discovery.rs
@@ -28,23 +28,23 @@
 
 /// The parameters of a [`DiscoveryWatcher`].
 pub struct WatcherParameters {
-    /// The address of discovery, which may change.
+    /// The address of the discovery service, which may change.
     pub handle: DiscoveryHandle,
     /// The revision of the cached list; changes after it are watched.
     pub cached_revision: u64,
     /// This copy of the settings assigns ids to the zones and kinds that lists name.
     pub site: Site,
-    /// The inbox of the owner thread.
+    /// The inbox of the event loop.
     pub inbox: Inbox,
     /// The fleet whose hosts are listed.
     pub fleet: FleetId,
     /// Counts malformed lists.
     pub metrics: Arc<Metrics>,
-    /// Minimum time between a move of discovery and fetching the full list.
+    /// Minimum time between a move of the discovery service and fetching the full list.
     pub resync_after: Micros,
 }
 
-/// Watches the endpoint list, and passes lists to the owner thread.
+/// Watches the endpoint list, and passes lists to the event loop.
 pub struct DiscoveryWatcher {
     handle: DiscoveryHandle,
     /// The latest revision; `None` if the full list has to be fetched.
@@ -58,7 +58,7 @@
     fleet: FleetId,
     metrics: Arc<Metrics>,
     resync_after: Micros,
-    /// When the full list is fetched after a move, unless discovery sends it before.
+    /// When the full list is fetched after a move, unless the discovery service sends it before.
     resync_at: Option<Micros>,
     progress: WatchProgress,
     /// The lists that the service at the current address has sent.
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Records the cached list as the last one that discovery sent, and returns its hosts.
+    /// Records the cached list as the last one that the discovery service sent, and returns its hosts.
     pub fn record_cached(&mut self, mut list: EndpointList) -> Vec<ListedHost> {
         self.history.record(&mut list);
         listed_hosts(&list, &mut self.site)
@@ -133,10 +133,10 @@
         }
     }
 
-    /// Handles a move of discovery to another address. At first only changes are watched there, to keep the
-    /// load on the service low when all dispatchers move at once. The service may number its revisions
-    /// differently, so changes alone are not sufficient: the full list is fetched later, by each dispatcher
-    /// at a different time.
+    /// Handles a move of the discovery service to another address. At first only changes are watched there,
+    /// to keep the load on the service low when all dispatchers move at once. The service may number its
+    /// revisions differently, so changes alone are not sufficient: the full list is fetched later, by each
+    /// dispatcher at a different time.
     fn record_move(&mut self, moved_at: Micros) {
         self.inbox.post(Input::DiscoveryMoved { fleet: self.fleet, at: moved_at });
         // Revisions of the former address are not comparable with those of the new one.
--- a/dispatcher/src/wire/discovery/handle.rs
+++ b/dispatcher/src/wire/discovery/handle.rs
@@ -1,4 +1,5 @@
-//! The address of discovery, shared by the watcher and the code that reloads the configuration.
+//! The address of the discovery service, shared by the watcher and the code that reloads the
+//! configuration.
 
 use crate::core::clock;
 use crate::wire::socket::Socket;
@@ -26,19 +27,19 @@
     connection: Option<Socket>,
 }
 
-/// An address of discovery, with the number of moves that led to it.
+/// An address of the discovery service, with the number of moves that led to it.
 #[derive(Clone, Copy)]
 pub(super) struct Location {
     /// The address of the service.
     pub address: SocketAddr,
     /// Number of moves so far.
     pub generation: u64,
-    /// When discovery was moved to this address; 0 if it was never moved.
+    /// When the discovery service was moved to this address; 0 if it was never moved.
     pub moved_at: Micros,
 }
 
 impl DiscoveryHandle {
-    /// Creates a handle for discovery at `address`. `poll_requests` wakes the watcher.
+    /// Creates a handle for the discovery service at `address`. `poll_requests` wakes the watcher.
     pub fn new(address: SocketAddr, poll_requests: Sender<()>, always_watch: bool) -> DiscoveryHandle {
         let location = Location { address, generation: 0, moved_at: 0 };
         DiscoveryHandle {
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Moves discovery to `address`: closes the watch at the former address and wakes the watcher. Returns
-    /// false if `address` is the current one.
+    /// Moves the discovery service to `address`: closes the watch at the former address and wakes the
+    /// watcher. Returns false if `address` is the current one.
     pub fn move_to(&self, address: SocketAddr) -> bool {
         let mut current = self.current.lock();
         if current.location.address == address {
@@ -77,13 +78,13 @@
         true
     }
 
-    /// The current location of discovery.
+    /// The current location of the discovery service.
     pub(super) fn location(&self) -> Location {
         self.current.lock().location
     }
 
-    /// Registers the watcher's connection, so that a move closes it. Returns false if discovery was moved
-    /// after `location` was read.
+    /// Registers the watcher's connection, so that a move closes it. Returns false if the discovery service
+    /// was moved after `location` was read.
     pub(super) fn register_connection(&self, location: Location, connection: &Socket) -> bool {
         let mut current = self.current.lock();
         if current.location.generation != location.generation {
--- a/dispatcher/src/wire/discovery/stream.rs
+++ b/dispatcher/src/wire/discovery/stream.rs
@@ -155,7 +155,7 @@
         tracing::warn!(count, reason = %error, "malformed endpoint list skipped");
     }
 
-    /// Passes a list to the owner thread.
+    /// Passes a list to the event loop.
     fn apply_list(&mut self, mut list: EndpointList) -> Result<(), WatchError> {
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
         if is_older && !list.is_complete {
--- a/dispatcher/src/wire/discovery/watch_error.rs
+++ b/dispatcher/src/wire/discovery/watch_error.rs
@@ -16,7 +16,7 @@
     /// The request could not be sent.
     #[error("cannot send the request")]
     Send(#[source] io::Error),
-    /// Discovery was moved to another address.
+    /// The discovery service was moved to another address.
     #[error("discovery was moved")]
     Moved,
     /// No response or event was received before the deadline.
--- a/dispatcher/src/wire/front.rs
+++ b/dispatcher/src/wire/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP front: serves requests of clients and callbacks of upstream hosts on one listener.
+//! The HTTP front end: serves requests of clients and callbacks of upstream hosts on one listener.
 
 mod connection;
 mod request;
@@ -17,7 +17,7 @@
 pub struct FrontParameters {
     /// The settings, with the names of classes and tenants.
     pub site: Arc<Site>,
-    /// The inbox of the owner thread.
+    /// The inbox of the event loop.
     pub inbox: Inbox,
     /// The fleet that runs the streams.
     pub fleet: FleetId,
@@ -28,11 +28,11 @@
     /// Whether the listener is inherited from the platform. The next process then accepts on it once this one
     /// stops.
     pub inherited: bool,
-    /// The metrics of the admin address, which count requests that the front rejects.
+    /// The metrics of the admin address, which count requests that the front end rejects.
     pub metrics: Arc<Metrics>,
 }
 
-/// State shared by all connections of the front.
+/// State shared by all connections of the front end.
 pub struct Front {
     /// The settings, with the names of classes and tenants.
     pub site: Arc<Site>,
@@ -51,7 +51,7 @@
 }
 
 impl Front {
-    /// Creates a front without connections.
+    /// Creates a front end without connections.
     pub fn new(parameters: FrontParameters) -> Arc<Front> {
         Arc::new(Front {
             site: parameters.site,
--- a/dispatcher/src/wire/front/connection/routing.rs
+++ b/dispatcher/src/wire/front/connection/routing.rs
@@ -67,7 +67,7 @@
         RouteResult::Reply(LocalReply { status, headers: "", body: self.front.metrics.stage().description() })
     }
 
-    /// Submits the stream of a request to the owner thread.
+    /// Submits the stream of a request to the event loop.
     fn submit(&mut self, message: Message, memory: BodyMemory) -> RouteResult {
         let front = self.front;
         let close_requested = message.close;
--- a/dispatcher/src/wire/front/request_tests.rs
+++ b/dispatcher/src/wire/front/request_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of request parsing in the HTTP front.
+//! Tests of request parsing in the HTTP front end.
 
 use super::parse_call_info_value;
 use rstest::rstest;
--- a/dispatcher/src/wire/gearman/function.rs
+++ b/dispatcher/src/wire/gearman/function.rs
@@ -1,4 +1,4 @@
-//! The functions of the Gearman front, resolved from the settings file and looked up by name.
+//! The functions of the Gearman front end, resolved from the settings file and looked up by name.
 
 use super::number_settings::{AllowedRange, micros_from_seconds, number_in_range};
 use super::settings::{FunctionEntry, GearmanSettings, MaxQueue};
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-/// Resolves one function. The fleet is 0 until the function is added to the front.
+/// Resolves one function. The fleet is 0 until the function is added to the front end.
 ///
 /// # Errors
 /// If a setting is invalid.
--- a/dispatcher/src/wire/gearman/job_clients.rs
+++ b/dispatcher/src/wire/gearman/job_clients.rs
@@ -21,7 +21,7 @@
 
 /// All clients that wait for a released job.
 pub struct JobClients {
-    /// The front.
+    /// The front end.
     pub front: Arc<Gearman>,
     /// The number of the job.
     pub job_no: JobNo,
--- a/dispatcher/src/wire/gearman/job_source.rs
+++ b/dispatcher/src/wire/gearman/job_source.rs
@@ -8,9 +8,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// The queued jobs of a Gearman front, as a [`JobSource`].
+/// The queued jobs of a Gearman front end, as a [`JobSource`].
 pub struct GearmanJobSource(
-    /// The front.
+    /// The front end.
     pub Arc<Gearman>,
 );
 
--- a/dispatcher/src/wire/gearman/mod.rs
+++ b/dispatcher/src/wire/gearman/mod.rs
@@ -1,4 +1,4 @@
-//! The Gearman front: submitted jobs wait in the backlog and are released as streams, and registered workers become
+//! The Gearman front end: submitted jobs wait in the backlog and are released as streams, and registered workers become
 //! upstream hosts. It translates the protocol and makes no scheduling decisions. The settings of a function determine
 //! whether its jobs run on Gearman workers or on HTTP hosts.
 
@@ -52,7 +52,7 @@
 /// Timeout for writing a batch of packets to a connection, in microseconds.
 const WRITE_TIMEOUT: Micros = 10 * SECOND;
 
-/// State shared by the coroutines of the front and the event loop. Sections that hold the lock are short and never
+/// State shared by the coroutines of the front end and the event loop. Sections that hold the lock are short and never
 /// block.
 struct Jobs {
     backlog: Backlog<WaitingClient, Payload>,
@@ -64,7 +64,7 @@
     ended_counts: EndedJobCounts,
 }
 
-/// State shared by all connections of the Gearman front.
+/// State shared by all connections of the Gearman front end.
 pub struct Gearman {
     /// The inbox of the event loop.
     pub inbox: Inbox,
@@ -92,9 +92,9 @@
     is_drained: AtomicBool,
 }
 
-/// The parameters of a [`Gearman`] front.
+/// The parameters of a [`Gearman`] front end.
 pub struct GearmanParameters {
-    /// The settings as read from the configuration file.
+    /// The settings as read from the settings file.
     pub file: GearmanSettings,
     /// The same settings, resolved.
     pub settings: ResolvedSettings,
@@ -104,7 +104,7 @@
     pub inbox: Inbox,
     /// The fleet of the HTTP hosts.
     pub http_fleet: FleetId,
-    /// The ID of the first worker fleet. This ID and all higher ones belong to the front.
+    /// The ID of the first worker fleet. This ID and all higher ones belong to the front end.
     pub first_worker_fleet: FleetId,
     /// The random seed of the decision logic.
     pub seed: u64,
@@ -115,7 +115,7 @@
 }
 
 impl Gearman {
-    /// Creates a front without connections or functions.
+    /// Creates a front end without connections or functions.
     pub fn new(parameters: GearmanParameters) -> Gearman {
         let jobs = Jobs {
             backlog: Backlog::new(parameters.settings.bounds),
--- a/dispatcher/src/wire/gearman/resolved_settings.rs
+++ b/dispatcher/src/wire/gearman/resolved_settings.rs
@@ -1,4 +1,4 @@
-//! The validated front-wide settings in internal units, and the scheduling settings of worker fleets.
+//! The validated settings of the whole front end in internal units, and the scheduling settings of worker fleets.
 
 use super::number_settings::{AllowedRange, bytes_from_kib, micros_from_seconds, number_in_range};
 use super::settings::GearmanSettings;
@@ -15,7 +15,7 @@
 /// Default scheduling tick of worker fleets, in microseconds.
 const DEFAULT_TICK: Micros = 200;
 
-/// The front-wide settings.
+/// The settings of the whole front end.
 #[derive(Clone, Debug)]
 pub struct ResolvedSettings {
     /// Limits on the jobs of all functions.
@@ -37,7 +37,8 @@
 }
 
 impl ResolvedSettings {
-    /// Validates the front-wide settings. `default_job_bytes` is the memory limit for jobs if the file sets none.
+    /// Validates the settings of the whole front end. `default_job_bytes` is the memory limit for jobs if the file sets
+    /// none.
     ///
     /// # Errors
     /// If a setting is invalid.
--- a/dispatcher/src/wire/gearman/settings.rs
+++ b/dispatcher/src/wire/gearman/settings.rs
@@ -1,10 +1,10 @@
-//! The settings of the Gearman front, as read from the configuration file.
+//! The settings of the Gearman front end, as read from the settings file.
 
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
 use toml::Spanned;
 
-/// The file, or the section of a file, that enables the front.
+/// The file, or the section of a file, that enables the front end.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GearmanSettings {
@@ -60,7 +60,7 @@
     256
 }
 
-/// The settings of a function, as read from the configuration file.
+/// The settings of a function, as read from the settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionEntry {
--- a/dispatcher/src/wire/ipfix.rs
+++ b/dispatcher/src/wire/ipfix.rs
@@ -1,6 +1,6 @@
 //! Export of finished streams as IPFIX flow records (RFC 7011, RFC 7012) over UDP.
 //!
-//! The owner thread passes records to the exporter through a bounded queue. Records that exceed its capacity
+//! The event loop passes records to the exporter through a bounded queue. Records that exceed its capacity
 //! are dropped and counted, and the count is exported with the templates.
 
 mod elements;
@@ -23,7 +23,7 @@
 /// Maximum number of queued records.
 const MAX_QUEUED_RECORDS: usize = 1024;
 
-/// The owner thread's end of the record queue.
+/// The event loop's end of the record queue.
 struct QueueSender {
     records: Sender<Flow>,
     counts: Arc<QueueCounts>,
--- a/dispatcher/src/wire/list.rs
+++ b/dispatcher/src/wire/list.rs
@@ -1,4 +1,5 @@
-//! The JSON format of the endpoint list that discovery sends, and its conversion to upstream hosts. No I/O.
+//! The JSON format of the endpoint list that the discovery service sends, and its conversion to upstream
+//! hosts. No I/O.
 
 use crate::core::ListedHost;
 use roselock::settings::{Site, fnv};
--- a/dispatcher/src/wire/list_history.rs
+++ b/dispatcher/src/wire/list_history.rs
@@ -1,5 +1,5 @@
-//! Remembers which workers discovery has reported as unavailable, so that an older revision, sent by a
-//! replica that lags behind, does not put them back into use. No I/O.
+//! Remembers which workers the discovery service has reported as unavailable, so that an older revision,
+//! sent by a replica that lags behind, does not put them back into use. No I/O.
 
 use super::list::{EndpointList, Target};
 use std::collections::HashMap;
--- a/dispatcher/src/wire/mod.rs
+++ b/dispatcher/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Network protocols and sockets: the HTTP and Gearman fronts, upstream connections, discovery, the admin
-//! address and IPFIX export.
+//! Network protocols and sockets: the HTTP and Gearman front ends, upstream connections, discovery, the
+//! admin address and IPFIX export.
 
 pub mod admin;
 pub mod arrivals;
--- a/dispatcher/src/wire/upstream.rs
+++ b/dispatcher/src/wire/upstream.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// The owner thread's handle to a connection.
+/// The event loop's handle to a connection.
 struct HttpConnectionHandle {
     requests: Sender<UpstreamRequest>,
     phase: SharedPhase,
--- a/dispatcher/src/wire/upstream/connection.rs
+++ b/dispatcher/src/wire/upstream/connection.rs
@@ -66,7 +66,7 @@
         Connection { shared, endpoint, phase, open: None }
     }
 
-    /// Performs requests until the connection closes, or the owner thread drops its handle.
+    /// Performs requests until the connection closes, or the event loop drops its handle.
     pub(super) fn run(mut self, first: UpstreamRequest, pending_requests: &Receiver<UpstreamRequest>) {
         let mut next = Some(first);
         while let Some(request) = next {
@@ -133,7 +133,7 @@
                 let event = response_event(&request.kind, &response, &self.shared.site);
                 ExchangeResult { event, connection }
             }
-            // The owner thread ends the attempt at its deadline, so the timeout is not reported as an
+            // The event loop ends the attempt at its deadline, so the timeout is not reported as an
             // outcome.
             Err(HttpError::TimedOut) => ExchangeResult::closed(UpstreamEvent::Ignored),
             Err(_) if open.is_within_immediate_close() && open.reader.is_empty() => {
--- a/dispatcher/src/wire/upstream/phase.rs
+++ b/dispatcher/src/wire/upstream/phase.rs
@@ -1,4 +1,4 @@
-//! The phase of a connection, shared by its coroutine and the owner thread.
+//! The phase of a connection, shared by its coroutine and the event loop.
 
 use crate::wire::socket::Socket;
 use parking_lot::Mutex;
@@ -23,7 +23,7 @@
 /// Error: the request was aborted or cancelled.
 pub(super) struct Aborted;
 
-/// The phase of a connection, shared by its coroutine and the owner thread.
+/// The phase of a connection, shared by its coroutine and the event loop.
 #[derive(Clone, Default)]
 pub(super) struct SharedPhase(Arc<Mutex<Phase>>);
 
--- a/dispatcher/src/wire/upstream_tests.rs
+++ b/dispatcher/src/wire/upstream_tests.rs
@@ -85,7 +85,7 @@
         next_event(&inputs),
         (2, UpstreamEvent::Ended { outcome: Outcome::NotStarted, .. }, ConnectionState::Closed)
     ));
-    // The owner thread drops a closed connection.
+    // The event loop drops a closed connection.
     drop(connection);
     host.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     assert_eq!(host.read(&mut [0; 1024]).expect("an end"), 0);
--- a/dispatcher/tests/common/dispatcher.rs
+++ b/dispatcher/tests/common/dispatcher.rs
@@ -14,11 +14,11 @@
     pub process: Process,
     /// Its configuration file.
     pub config: PathBuf,
-    /// The configuration file of the Gearman front, if it is on.
+    /// The settings file of the Gearman front end, if it is on.
     pub gearman_file: Option<PathBuf>,
-    /// The address of the HTTP front.
+    /// The address of the HTTP front end.
     pub http: SocketAddr,
-    /// The address of the Gearman front, if it is on.
+    /// The address of the Gearman front end, if it is on.
     pub gearman: Option<SocketAddr>,
     /// The admin address, if it is on.
     pub admin: Option<SocketAddr>,
@@ -38,7 +38,7 @@
     pub settings: &'a str,
     /// The cached endpoint list, as JSON.
     pub cached_list: &'a str,
-    /// The functions of the Gearman front, as TOML; `None` disables the front.
+    /// The functions of the Gearman front end, as TOML; `None` disables the front end.
     pub gearman: Option<&'a str>,
     /// The operators' configuration, as TOML.
     pub operator: Option<&'a str>,
@@ -48,7 +48,7 @@
     pub admin: bool,
     /// A `$TMPDIR` shared with another process; `None` creates a new one.
     pub tmp: Option<PathBuf>,
-    /// The inherited listener of the HTTP front, passed as descriptor 3.
+    /// The inherited listener of the HTTP front end, passed as descriptor 3.
     pub inherited_listener: Option<TcpListener>,
     /// Injected faults.
     pub faults: Option<Faults>,
@@ -124,7 +124,7 @@
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher. Functions enable its Gearman front.
+    /// Starts a dispatcher. Functions enable its Gearman front end.
     pub fn start(
         discovery: SocketAddr,
         settings: &str,
@@ -246,7 +246,7 @@
         self.signal(Signal::SIGHUP);
     }
 
-    /// Rewrites the configuration file of the Gearman front and sends SIGHUP.
+    /// Rewrites the settings file of the Gearman front end and sends SIGHUP.
     pub fn reload_gearman(&self, functions: &str) {
         let path = self.gearman_file.as_ref().expect("Gearman front is not enabled");
         std::fs::write(path, format!("listen = \"127.0.0.1:0\"\n{functions}")).expect("cannot write file");
--- a/dispatcher/tests/common/gearman.rs
+++ b/dispatcher/tests/common/gearman.rs
@@ -1,4 +1,4 @@
-//! Scripted clients and workers of the Gearman front.
+//! Scripted clients and workers of the Gearman front end.
 
 use super::{WAIT_TIMEOUT, connect};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -55,7 +55,7 @@
         reader.lines().map(|l| l.expect("no line")).take_while(|l| l != ".").collect()
     }
     /// Repeats an admin command until the response line whose first field is `key` is the expected one. The counts are
-    /// updated through the owner's queue, so a worker may have its job before they include it.
+    /// updated through the event loop's queue, so a worker may have its job before they include it.
     pub fn wait_for_admin_line(&mut self, command: &str, key: &str, expected: &str) {
         let start = std::time::Instant::now();
         loop {
--- a/dispatcher/tests/common/http_front.rs
+++ b/dispatcher/tests/common/http_front.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests of the HTTP front.
+//! Shared by the tests of the HTTP front end.
 
 use super::{Dispatcher, Host, MockDiscovery, StartOptions, endpoint_list, settings};
 
--- a/dispatcher/tests/conformance.rs
+++ b/dispatcher/tests/conformance.rs
@@ -1,4 +1,4 @@
-//! The conformance suite against the Gearman front, and against fronts with a defect.
+//! The conformance suite against the Gearman front end, and against front ends with a defect.
 
 mod common;
 use common::*;
@@ -32,7 +32,7 @@
     results.filter_map(|(case, r)| Some(format!("{}: {}", case.name, r.err()?))).collect()
 }
 
-/// The front passes each case of the suite, also through the relay without a defect.
+/// The front end passes each case of the suite, also through the relay without a defect.
 #[rstest]
 fn the_front_conforms() {
     let (_discovery, dispatcher) = start_front();
--- a/dispatcher/tests/gearman.rs
+++ b/dispatcher/tests/gearman.rs
@@ -1,4 +1,4 @@
-//! The Gearman front with scripted clients and workers, one job at a time.
+//! The Gearman front end with scripted clients and workers, one job at a time.
 
 mod common;
 use common::gearman::*;
--- a/dispatcher/tests/gearman_queue.rs
+++ b/dispatcher/tests/gearman_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of the Gearman front: jobs wait, are queued again or end, and clients and operators are notified.
+//! The queue of the Gearman front end: jobs wait, are queued again or end, and clients and operators are notified.
 
 mod common;
 use common::gearman::*;
@@ -418,7 +418,7 @@
     (done.status.success(), String::from_utf8_lossy(&done.stderr).into_owned())
 }
 
-/// An error in the operators' file is reported with its line, its key and the expected value, and nothing is started.
+/// An error in the operator file is reported with its line, its key and the expected value, and nothing is started.
 #[rstest]
 #[case("[gearman]\nlisten = \"127.0.0.1:0\"\nmax_job_kb = 0\n", &["line 3: gearman.max_job_kb", "between 1 and"])]
 #[case("[gearman]\nlisten = \"127.0.0.1:0\"\ntimezone = \"Nowhere\"\n", &["line 3: gearman.timezone", "UTC"])]
@@ -449,7 +449,7 @@
     assert_eq!(output.is_empty(), expected.is_empty(), "{output}");
 }
 
-/// The shipped operators' file is accepted once its example names of classes and tenants are replaced by known ones.
+/// The shipped operator file is accepted once its example names of classes and tenants are replaced by known ones.
 #[rstest]
 fn the_shipped_operators_file_is_accepted() {
     let shipped = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.toml"));
--- a/dispatcher/tests/http_connections.rs
+++ b/dispatcher/tests/http_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the HTTP front and to upstream hosts: idle connections, floods, large bodies and lost
+//! Connections of the HTTP front end and to upstream hosts: idle connections, floods, large bodies and lost
 //! connections.
 
 mod common;
--- a/dispatcher/tests/http_front.rs
+++ b/dispatcher/tests/http_front.rs
@@ -1,4 +1,4 @@
-//! The HTTP front, callbacks, upstream hosts and discovery.
+//! The HTTP front end, callbacks, upstream hosts and discovery.
 
 mod common;
 use common::http_front::{DONE_FIELDS, dispatcher_with_hosts};
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,4 +1,4 @@
-//! Actions that the decision module returns to its caller.
+//! Actions that the decision logic returns to its caller.
 
 use super::ids::{JobId, Micros, WorkerId};
 
@@ -40,7 +40,7 @@
         /// Identifies the timer in the event.
         token: u64,
     },
-    /// Call discovery and open a watch on its endpoint list.
+    /// Call the discovery service and open a watch on its endpoint list.
     WatchEndpoints,
     /// Send a health check to a worker.
     HealthCheck(WorkerId),
--- a/src/api/class.rs
+++ b/src/api/class.rs
@@ -71,6 +71,6 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Quota in requests per second, over all schedulers together.
+    /// Quota in requests per second, over all dispatchers together.
     pub quota_per_s: f64,
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -39,7 +39,8 @@
     Changes,
     /// The complete list: workers absent from it are gone.
     Complete,
-    /// A complete list that was cached by an earlier process and does not come from discovery.
+    /// A complete list that was cached by an earlier process and does not come from the discovery
+    /// service.
     Cached,
 }
 
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! Events that the caller reports to the decision module.
+//! Events that the caller reports to the decision logic.
 
 use super::endpoint::{Endpoint, ListMode, LoadReport};
 use super::ids::{ClassId, JobId, KeyId, Micros, TenantId, WorkerId};
@@ -68,7 +68,7 @@
     Progress(f64),
 }
 
-/// An input to the decision module. `attempt` numbers a request's attempts from 0, in the order of their
+/// An input to the decision logic. `attempt` numbers a request's attempts from 0, in the order of their
 /// [`Action::Send`](crate::Action::Send).
 #[derive(Clone, Debug)]
 pub enum Event {
@@ -81,7 +81,7 @@
     },
     /// The watch on the endpoint list, or the call to open one, ended. The current list stays in use.
     WatchEnded(WatchEnd),
-    /// Discovery was moved to another address at this time.
+    /// The discovery service was moved to another address at this time.
     DiscoveryMoved(Micros),
     /// A client request arrived. It must get exactly one final answer.
     JobArrived(JobRequest),
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -18,7 +18,7 @@
     /// Identifies a client request. Ids are never reused.
     JobId(u32);
     /// Identifies a worker. The id is the same across restarts of the worker's process and at every
-    /// scheduler; a hash of the worker's address serves.
+    /// dispatcher; a hash of the worker's address serves.
     WorkerId(u64);
     /// Index into [`Settings::classes`](crate::Settings::classes).
     ClassId(u16);
--- a/src/api/limits.rs
+++ b/src/api/limits.rs
@@ -64,7 +64,7 @@
 pub struct Safety {
     /// Grace period after the client's deadline in which a final answer still counts, in microseconds.
     pub answer_grace: Micros,
-    /// Maximum time between two polls of discovery while there is no watch, in microseconds.
+    /// Maximum time between two polls of the discovery service while there is no watch, in microseconds.
     pub poll_interval: Micros,
     /// Lower bound of the fraction of its capacity, 0 to 1, with which a worker starts.
     pub initial_capacity_fraction: f64,
@@ -84,7 +84,7 @@
     pub rejection_may_have_run: bool,
 }
 
-/// Limit on the retries (attempts after a request's first) of one scheduler: in any `window` at most
+/// Limit on the retries (attempts after a request's first) of one dispatcher: in any `window` at most
 /// `min_retries`, plus `ratio` for each request that it admitted in that window.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision module: its settings, input events and output actions. It holds data types
-//! only, no decision logic.
+//! The interface of the decision logic: its settings, input events and output actions. It holds data types
+//! only, no code that decides.
 //!
 //! Times are microseconds ([`Micros`]) on the caller's clock, which may have any origin but must be
 //! monotonic. Work is in seconds on a core of speed 1.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one scheduler.
+//! The settings of one dispatcher.
 
 use super::class::{Class, Tenant};
 use super::ids::{Micros, SECOND, ZoneId};
@@ -9,14 +9,14 @@
 /// services need as well.
 pub const DEFAULT_LIST_CALL_TIME: Micros = SECOND / 12;
 
-/// Configuration of a scheduler.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of schedulers that share the workers, including this one.
+    /// Number of dispatchers that share the workers, including this one.
     pub fleet_size: u32,
-    /// Index of this scheduler among them, from 0.
+    /// Index of this dispatcher among them, from 0.
     pub instance_index: u32,
-    /// This scheduler's zone.
+    /// This dispatcher's zone.
     pub zone: ZoneId,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -30,17 +30,17 @@
     /// miss their latency objective before all of them lose value. A rejection within the latency objective
     /// is not a miss.
     pub tail_miss_fraction: Option<f64>,
-    /// Discovery must be called ([`Action::WatchEndpoints`](crate::Action::WatchEndpoints)); otherwise it
-    /// pushes changes unsolicited.
+    /// The discovery service must be called ([`Action::WatchEndpoints`](crate::Action::WatchEndpoints));
+    /// otherwise it pushes changes unsolicited.
     pub watch_required: bool,
     /// The endpoint list is held under a lease ([`roselock_discovery_client::lease`]): once the watch has
     /// been closed for some time, changes count as notified even if they were not received.
     pub list_lease_enabled: bool,
-    /// Initial estimate of the duration of a call to discovery, in microseconds. It is updated from the
-    /// calls.
+    /// Initial estimate of the duration of a call to the discovery service, in microseconds. It is updated
+    /// from the calls.
     pub list_call_time: Micros,
-    /// Until discovery has answered, each worker first gets a single trial request, and non-idempotent
-    /// requests go only to workers that have answered one.
+    /// Until the discovery service has answered, each worker first gets a single trial request, and
+    /// non-idempotent requests go only to workers that have answered one.
     pub list_unconfirmed: bool,
     /// [`Endpoint::units`](crate::Endpoint::units) falls as a worker has more requests in flight.
     pub units_fall_with_load: bool,
@@ -48,7 +48,7 @@
     pub reports_start: bool,
     /// Interval between progress updates, in microseconds; 0 if there are none.
     pub progress_interval: Micros,
-    /// Minimum time between two steps of this scheduler, in microseconds.
+    /// Minimum time between two steps of this dispatcher, in microseconds.
     pub tick: Micros,
     /// What the site permits.
     pub limits: Limits,
@@ -59,8 +59,8 @@
 }
 
 impl Settings {
-    /// Settings of the only scheduler of a site without tenants, costs or load reports that permits nothing
-    /// but a single attempt per request. Callers change the fields that differ.
+    /// Settings of the only dispatcher of a site without tenants, costs or load reports that permits
+    /// nothing but a single attempt per request. Callers change the fields that differ.
     #[must_use]
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The parameters of the schedule by which this scheduler polls discovery.
+    /// The parameters of the schedule by which this dispatcher polls the discovery service.
     #[must_use]
     pub fn poll_parameters(&self) -> PollParameters {
         PollParameters {
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl Dispatcher {
-    /// Handles an endpoint list from discovery or from the cache.
+    /// Handles an endpoint list from the discovery service or from the cache.
     pub(crate) fn list_received(&mut self, mode: ListMode, endpoints: &[Endpoint], out: &mut Vec<Action>) {
         let from_discovery = mode != ListMode::Cached;
         if from_discovery && self.discovery.record_answer(self.now) {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Schedules the next poll: backed off to limit the load on discovery, but within the notification
-    /// deadline.
+    /// Schedules the next poll: backed off to limit the load on the discovery service, but within the
+    /// notification deadline.
     pub(crate) fn watch_ended(&mut self, end: WatchEnd, out: &mut Vec<Action>) {
         let parameters = self.settings.poll_parameters();
         let draw = self.rng.rand_float();
--- a/src/decisions/endpoint_list_tests.rs
+++ b/src/decisions/endpoint_list_tests.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 /// Regression test (`old-silent` in the rig): non-idempotent jobs were lost at unresponsive workers of a
-/// cached list. Until discovery has answered, each worker is tried with one job that may run twice, and
-/// non-idempotent jobs wait for a worker that has answered.
+/// cached list. Until the discovery service has answered, each worker is tried with one job that may run
+/// twice, and non-idempotent jobs wait for a worker that has answered.
 #[test]
 fn a_worker_on_an_unconfirmed_list_is_tried_with_one_idempotent_job_first() {
     let mut dispatcher = dispatcher(0);
@@ -26,8 +26,9 @@
     assert!(dispatcher.may_send(&non_idempotent_job, 0), "the list is confirmed");
 }
 
-/// Guards against treating a list as unconfirmed where discovery is not polled, as in the decisions of
-/// Gearman functions: nothing would ever confirm it, and no worker would be sent a non-idempotent job.
+/// Guards against treating a list as unconfirmed where the discovery service is not polled, as in the
+/// decision logic of Gearman functions: nothing would ever confirm it, and no worker would be sent a
+/// non-idempotent job.
 #[test]
 fn a_list_counts_as_unconfirmed_only_where_discovery_is_polled() {
     let is_unconfirmed = |watch_required| {
@@ -62,8 +63,8 @@
 /// deadline, since a service that is down also keeps its callers waiting.
 const FAILED_POLLS: usize = 4;
 
-/// Time of a dispatcher's first poll of discovery or, if `polls_fail`, of the poll after [`FAILED_POLLS`]
-/// failures. The polls of all dispatchers fail at the same time.
+/// Time of a dispatcher's first poll of the discovery service or, if `polls_fail`, of the poll after
+/// [`FAILED_POLLS`] failures. The polls of all dispatchers fail at the same time.
 fn last_poll_at(index: u32, polls_fail: bool) -> Micros {
     let mut settings = Settings { fleet_size: FLEET_SIZE, instance_index: index, ..settings() };
     settings.watch_required = true;
@@ -96,14 +97,15 @@
 
 /// Regression test: after a release, 48 of 70 dispatchers never received a list again, because all polled at
 /// the same moment, failed together and retried together. Here a hundred dispatchers that share no state
-/// start at once and poll discovery, which serves twelve calls a second.
+/// start at once and poll the discovery service, which serves twelve calls a second.
 #[test]
 fn dispatchers_that_start_together_spread_their_discovery_polls() {
     // The assumed duration of a call allows 12 polls a second. The first polls of all dispatchers have to fit
     // into the notification deadline, which takes 23 a second.
     let per_second = 12;
     let at_first = 23;
-    // The delay after a failed poll is four times as long, so failed polls leave discovery more time.
+    // The delay after a failed poll is four times as long, so failed polls leave the discovery service more
+    // time.
     for (polls_fail, max_per_second, within) in [(false, at_first + 1, 5), (true, per_second + 4, 36)] {
         let mut polls: Vec<Micros> = (0..FLEET_SIZE).map(|index| last_poll_at(index, polls_fail)).collect();
         polls.sort_unstable();
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -102,8 +102,9 @@
         self.set_tick_timer(out);
     }
 
-    /// Starts the clocks and the polling of discovery. Many dispatchers may start at once and discovery
-    /// serves one call at a time, so each instance makes its first poll after a different delay.
+    /// Starts the clocks and the polling of the discovery service. Many dispatchers may start at once and
+    /// the discovery service serves one call at a time, so each instance makes its first poll after a
+    /// different delay.
     fn start(&mut self, out: &mut Vec<Action>) {
         self.started = true;
         self.prices.start(self.now);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decision module of a dispatcher that pushes jobs to workers, based on time-indexed bid prices.
+//! Decision logic of a dispatcher that pushes jobs to workers, based on time-indexed bid prices.
 //!
 //! The interface is in [`api`]; [`Dispatcher`] handles its events. What the dispatcher knows is in `state`,
 //! what it decides is in `decisions`, with one concern per file. `decisions` uses `dispatcher` and `state`;
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -27,11 +27,11 @@
 objects! {
     /// A site's settings.
     Options {
-        /// Number of schedulers that share the workers; at least 1.
+        /// Number of dispatchers that share the workers; at least 1.
         fleet_size: u32,
-        /// Index of this scheduler among them, from 0.
+        /// Index of this dispatcher among them, from 0.
         me: u32,
-        /// This scheduler's zone.
+        /// This dispatcher's zone.
         zone: String,
         /// Names of all zones, in the order of their ids.
         zones: Vec<String>,
@@ -45,11 +45,11 @@
         counted_by: String,
         /// Fraction of its value, 0 to 1, that a request beyond its tenant's quota has; 1 if absent.
         over_share_worth: Option<f64>,
-        /// `subscribe`: discovery must be called for its endpoint list.
+        /// `subscribe`: the discovery service must be called for its endpoint list.
         discovery: String,
         /// `live`: the weight of an endpoint falls as it has more requests in flight.
         weight_kind: String,
-        /// Minimum time between two steps of a scheduler.
+        /// Minimum time between two steps of a dispatcher.
         tick_s: f64,
         /// What the site permits.
         limits: Limits,
@@ -91,7 +91,7 @@
     Party {
         /// Its name.
         name: String,
-        /// Quota in requests per second, over all schedulers together.
+        /// Quota in requests per second, over all dispatchers together.
         quota_per_s: f64,
     }
     /// What the site permits.
@@ -134,7 +134,7 @@
     Safety {
         /// Grace period after the client's deadline in which a final answer still counts.
         grace_to_answer_s: f64,
-        /// Maximum time between two polls of discovery.
+        /// Maximum time between two polls of the discovery service.
         ask_within_s: f64,
         /// Initial capacity fraction of a worker in slow start, 0 to 1; 1 if absent.
         cold_share: Option<f64>,
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -57,7 +57,7 @@
 /// Settings together with the names behind their ids.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The settings of one scheduler.
+    /// The settings of one dispatcher.
     pub settings: Settings,
     /// Ids of the zones.
     pub zones: IdsByName,
@@ -146,8 +146,8 @@
         })
     }
 
-    /// The fleet size, raised to this scheduler's index plus one if needed: an index beyond the stated size
-    /// shows that the size is out of date. A size of 0 (not stated) is left for the check to report.
+    /// The fleet size, raised to this dispatcher's index plus one if needed: an index beyond the stated
+    /// size shows that the size is out of date. A size of 0 (not stated) is left for the check to report.
     fn effective_fleet_size(&self) -> u32 {
         if self.fleet_size == 0 {
             return 0;
--- a/src/state/discovery.rs
+++ b/src/state/discovery.rs
@@ -5,21 +5,22 @@
 use roselock_discovery_client::poll_schedule::PollSchedule;
 use std::collections::BTreeMap;
 
-/// What is known about discovery and its endpoint list.
+/// What is known about the discovery service and its endpoint list.
 pub(crate) struct DiscoveryState {
-    /// When discovery is polled.
+    /// When the discovery service is polled.
     pub(crate) poll_schedule: PollSchedule,
-    /// How long the list may be used without contact to discovery.
+    /// How long the list may be used without contact to the discovery service.
     pub(crate) lease: ListLease,
-    /// Discovery has sent its list, so that any start it reports from now on is a new one.
+    /// The discovery service has sent its list, so that any start it reports from now on is a new one.
     pub(crate) synchronized: bool,
-    /// The list is a cached one that discovery has not confirmed yet, so it must be used with care.
+    /// The list is a cached one that the discovery service has not confirmed yet, so it must be used with
+    /// care.
     pub(crate) unconfirmed: bool,
     /// The workers suspended by an operator, each with its last listed state, if it was listed.
     pub(crate) suspended: BTreeMap<WorkerId, Option<EndpointState>>,
 }
 
-/// The lease on the list before the first answer of discovery.
+/// The lease on the list before the first answer of the discovery service.
 fn initial_lease(settings: &Settings) -> ListLease {
     let connect_timeout = settings.limits.connect_timeout;
     if !settings.list_lease_enabled {
@@ -43,17 +44,19 @@
         }
     }
 
-    /// Records an answer of discovery; returns whether it confirms a list that was unconfirmed until now.
+    /// Records an answer of the discovery service; returns whether it confirms a list that was unconfirmed
+    /// until now.
     pub(crate) fn record_answer(&mut self, now: Micros) -> bool {
         self.lease.renew();
         self.poll_schedule.record_answer(now) && std::mem::take(&mut self.unconfirmed)
     }
 
     /// Start time, on this dispatcher's clock, of a process for which the list gives a new start time. The
-    /// wall clocks of the worker's machine, of discovery and of this dispatcher may all be stepped, so a
-    /// listed time is accepted only if the monotonic clock confirms it, that is, if it lies between the last
-    /// time the list was in sync and now. Otherwise the process is taken to have started now. Before the
-    /// first answer of discovery, nothing confirms or contradicts the listed time, and it is accepted.
+    /// wall clocks of the worker's machine, of the discovery service and of this dispatcher may all be
+    /// stepped, so a listed time is accepted only if the monotonic clock confirms it, that is, if it lies
+    /// between the last time the list was in sync and now. Otherwise the process is taken to have started
+    /// now. Before the first answer of the discovery service, nothing confirms or contradicts the listed
+    /// time, and it is accepted.
     pub(crate) fn start_time(&self, listed: Option<Micros>, now: Micros) -> Option<Micros> {
         if !self.synchronized {
             return listed.map(|started_at| started_at.min(now));
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State of the decision module: jobs, workers, estimates, prices and the endpoint list. Each module updates
+//! State of the decision logic: jobs, workers, estimates, prices and the endpoint list. Each module updates
 //! its own state; decisions based on it are made in [`crate::decisions`].
 
 pub(crate) mod capacity;
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -4,7 +4,7 @@
 
 /// Token of the timer for the next pass. All tokens in this module are larger than any job id.
 pub(crate) const TICK_TOKEN: u64 = 1 << 40;
-/// Token of the timer for the next poll of discovery.
+/// Token of the timer for the next poll of the discovery service.
 pub(crate) const POLL_TOKEN: u64 = 1 << 41;
 /// Token of the timer after which an attempt that has not started may be withdrawn.
 pub(crate) const MIGRATION_TOKEN: u64 = 1 << 42;
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -137,7 +137,7 @@
     assert!(used.len() > 16, "{used:?}");
 }
 
-/// Guards against jobs that wait while workers are free: workers in slow start that only other schedulers may send to took all
+/// Guards against jobs that wait while workers are free: workers in slow start that only other dispatchers may send to took all
 /// places among the considered workers, and the warm workers after them were not considered.
 #[test]
 fn slow_start_workers_of_other_schedulers_do_not_displace_warm_workers() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, events and a driver for tests of the decision module without network and processes.
+//! Settings, events and a driver for tests of the decision logic without network and processes.
 #![allow(dead_code)]
 
 pub mod driver;
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns settings of one of two schedulers, with one class for each kind of idempotency.
+/// Returns settings of one of two dispatchers, with one class for each kind of idempotency.
 pub fn settings() -> Settings {
     let keyed = |scope| Idempotency::IdempotencyKey { scope, window: KEY_WINDOW };
     let mut settings = Settings::new(vec![
--- a/tests/decision_trace/scenarios.rs
+++ b/tests/decision_trace/scenarios.rs
@@ -7,15 +7,16 @@
 /// A combination of settings that a sequence runs with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// One scheduler whose limits permit everything, hedged requests included, without a retry budget.
+    /// One dispatcher whose limits permit everything, hedged requests included, without a retry budget.
     SingleScheduler,
-    /// One scheduler with the default limits, which permit a single attempt of each request, and no reports or tenants.
+    /// One dispatcher with the default limits, which permit a single attempt of each request, and no reports or
+    /// tenants.
     SingleAttempt,
-    /// Thirty schedulers with tenants, slow start and a retry budget.
+    /// Thirty dispatchers with tenants, slow start and a retry budget.
     ThirtySchedulers,
-    /// Three hundred schedulers that must call discovery and hold the endpoint list under a lease.
+    /// Three hundred dispatchers that must call the discovery service and hold the endpoint list under a lease.
     ListLease,
-    /// Like `ListLease`, with an endpoint list that discovery has not confirmed yet.
+    /// Like `ListLease`, with an endpoint list that the discovery service has not confirmed yet.
     UnconfirmedList,
     /// Classes with idempotency keys of each scope.
     IdempotencyKeys,
--- a/tests/decision_trace/simulation.rs
+++ b/tests/decision_trace/simulation.rs
@@ -24,7 +24,7 @@
     outcome: Outcome,
 }
 
-/// Simulates workers, clients and discovery around one dispatcher, and hashes each step's actions.
+/// Simulates workers, clients and the discovery service around one dispatcher, and hashes each step's actions.
 pub struct Simulation {
     dispatcher: Dispatcher,
     settings: Settings,
@@ -81,7 +81,7 @@
             _ => EndpointState::Ready,
         };
         if self.chance(6) {
-            // A worker's clock may be ahead of or behind the scheduler's, so its start time may lie in the future.
+            // A worker's clock may be ahead of or behind the dispatcher's, so its start time may lie in the future.
             let offset = self.random_duration(8 * SECOND) - 4 * SECOND;
             let started_at = (self.random_below(4) > 0).then_some(self.now + offset);
             self.started_at.insert(worker, started_at);
@@ -159,7 +159,7 @@
         Event::SuspensionChanged { worker: WorkerId(worker * 0x9e37_79b9), suspended }
     }
 
-    /// Adds the events of this step that do not follow from an attempt: arrivals, discovery, operators and clients.
+    /// Adds the events of this step that do not follow from an attempt: arrivals, the discovery service, operators and clients.
     fn push_external_events(&mut self, events: &mut Vec<Event>) {
         // The arrival rate changes every 5 s between one, two and three times the base rate.
         let extra_draws = (self.now / (5 * SECOND)) % 3;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -112,7 +112,7 @@
         // The job is sent once the worker is ready again.
         assert_eq!(sends(&driver.feed(&[list_changes(vec![ready(0)])])), [(1, 0)]);
     }
-    // A worker that a complete list omits is gone as well; a failed call to discovery changes no state.
+    // A worker that a complete list omits is gone as well; a failed call to the discovery service changes no state.
     let mut driver = Driver::with_workers(settings(), 2);
     driver.feed(&[complete_list(vec![ready(1)])]);
     driver.feed(&[watch_ended(WatchEndReason::Refused, driver.now)]);
@@ -132,7 +132,8 @@
 }
 
 /// Guards against a send to a worker whose drain counts as notified, whether the notice was received or not. A cached list is not
-/// used before discovery has answered or was found to be down, and no list is used once its watch has been closed for too long.
+/// used before the discovery service has answered or was found to be down, and no list is used once its watch has been closed for
+/// too long.
 #[test]
 fn rule_3_nothing_is_sent_while_the_list_lease_is_expired() {
     // An empty watch event confirms the list; once the watch is closed, the list may be used for 6 s.
@@ -194,7 +195,7 @@
     driver.feed(&[complete_list(vec![endpoint(0, EndpointState::Ready, Some(started_at))])]);
     let sent = send_for_15_seconds(&mut driver);
     // In slow start a worker with two slots at speed 1 accepts 3 x 0.3 x 2 x 1.5 s of work before it fails from overload. One of
-    // two schedulers may send half of it.
+    // two dispatchers may send half of it.
     let early: Vec<_> = sent.iter().filter(|send| send.sent_at <= started_at + overload_window).collect();
     assert!(!early.is_empty());
     let bound = 3.0 * 0.3 * 2.0 * 1.5 / fleet_size;
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -53,7 +53,7 @@
     };
     let mut used = BTreeSet::new();
     for key in 1..20 {
-        // The other scheduler receives the workers in the opposite order and has another seed.
+        // The other dispatcher receives the workers in the opposite order and has another seed.
         let mut driver = Driver::with_workers(settings.clone(), 6);
         let mut other = Driver::new(settings.clone());
         other.dispatcher = Dispatcher::new(settings.clone(), 99).expect("valid settings");
@@ -86,8 +86,8 @@
     assert_eq!(alone, run(true));
 }
 
-/// Returns variants of the settings, each without one feature: other schedulers, costs, cancellation, objectives that grow with
-/// the work and idempotency, reports of a start.
+/// Returns variants of the settings, each without one feature: other dispatchers, costs, cancellation, objectives that grow
+/// with the work and idempotency, reports of a start.
 fn unusual_settings() -> Vec<Settings> {
     let mut variants = vec![settings(); 5];
     variants[0].fleet_size = 1;
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -55,7 +55,8 @@
     assert!(run_jobs_in_rounds(&mut driver, 100, 40).contains(&2));
 }
 
-/// Guards against a poll schedule that treats the time of a suspension as the time of an answer from discovery.
+/// Guards against a poll schedule that treats the time of a suspension as the time of an answer from the
+/// discovery service.
 #[test]
 fn a_suspension_does_not_count_as_an_answer_from_discovery() {
     let next_poll_delay = |with_suspension: bool| {
--- a/tests/waiting_jobs.rs
+++ b/tests/waiting_jobs.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Guards against queues at full workers while others are idle: a hundred schedulers act on the same old reports, and half of all
-/// jobs waited at full workers. An idempotent job is retried elsewhere, one attempt at a time; a non-idempotent one stays.
+/// Guards against queues at full workers while others are idle: a hundred dispatchers act on the same old reports, and half of
+/// all jobs waited at full workers. An idempotent job is retried elsewhere, one attempt at a time; a non-idempotent one stays.
 #[test]
 fn an_idempotent_job_that_does_not_start_at_once_is_retried_elsewhere() {
     let mut driver = Driver::with_workers(settings_without_hedging(), 8);
@@ -108,7 +108,7 @@
     assert!(contains_cancel(&driver.actions_since(0), 1, 0));
 }
 
-/// Guards against cancelled jobs at workers that no other scheduler sends to: a Gearman worker has a single scheduler and grabs
+/// Guards against cancelled jobs at workers that no other dispatcher sends to: a Gearman worker has a single dispatcher and grabs
 /// its job when it is ready, but the job was cancelled a millisecond after the worker was woken.
 #[test]
 fn a_single_scheduler_does_not_cancel_an_attempt_that_has_not_started() {
--- a/tests/worker_faults.rs
+++ b/tests/worker_faults.rs
@@ -110,8 +110,8 @@
     let resets = in_flight.iter().map(|sent| attempt_ended(sent.job, sent.attempt, Outcome::Reset));
     driver.feed(&resets.collect::<Vec<_>>());
     driver.advance(600_000);
-    // This scheduler's half of the work that two slots accept at 30% capacity over 1.5 s, in jobs of 0.2 s. The bound also holds
-    // for workers of the zone at which this scheduler had no connection reset.
+    // This dispatcher's half of the work that two slots accept at 30% capacity over 1.5 s, in jobs of 0.2 s. The bound also holds
+    // for workers of the zone at which this dispatcher had no connection reset.
     let max_sends = (3.0 * 0.3 * 2.0 * 1.5 / 2.0 / 0.2) as usize;
     let counts = driver.count_sends_under_load(100, 3 * SECOND / 2);
     assert!(counts.iter().all(|count| *count <= max_sends), "{counts:?}, bound {max_sends} a worker");
