--- a/dispatcher/tests/common/http_front.rs
+++ b/dispatcher/tests/common/http_front.rs
@@ -23,3 +23,6 @@
 
 /// The fields of a callback for a completed job, with a quote in its result.
 pub const DONE_FIELDS: &str = r#""state":"done","result":"a \"b\"","load":{"x0":1}"#;
+
+/// The fields of a callback for a job that has started.
+pub const STARTED_FIELDS: &str = r#""state":"started""#;
